--- a/benches/knowledge/clients.rs
+++ b/benches/knowledge/clients.rs
@@ -5,8 +5,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sillflow::knowledge::{Digest, Run};
 use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec};
+use sillflow::server_stats::{Digest, Run};
 
 use crate::world::{Client, Server};
 
--- a/benches/knowledge/main.rs
+++ b/benches/knowledge/main.rs
@@ -15,8 +15,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use report::Report;
-use sillflow::knowledge::{Digest, Item, Run};
 use sillflow::route::{Ended, Kind, Options, Pool};
+use sillflow::server_stats::{Digest, Item, Run};
 use world::{Client, Outcome, Server, play};
 
 const SEEDS: u64 = 40;
--- a/benches/verdicts/main.rs
+++ b/benches/verdicts/main.rs
@@ -11,9 +11,9 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use report::Report;
-use sillflow::verdict::cap::Limits;
-use sillflow::verdict::count::Rules;
-use sillflow::verdict::evidence::{MOST_BYTES, send_every_ms};
+use sillflow::ejection::cap::Limits;
+use sillflow::ejection::count::Rules;
+use sillflow::ejection::evidence::{MOST_BYTES, send_every_ms};
 use world::{Plan, Restart, Seen, Trouble, ZONES, full_message, play};
 
 const NODES: usize = 300;
--- a/benches/verdicts/world.rs
+++ b/benches/verdicts/world.rs
@@ -9,17 +9,17 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
-use sillflow::knowledge::Run;
-use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec, Standing};
-use sillflow::verdict::cap::{Limits, Member};
-use sillflow::verdict::count::Kind::Slow;
-use sillflow::verdict::count::{Outlier, Scope};
-use sillflow::verdict::evidence::{
+use sillflow::ejection::cap::{Limits, Member};
+use sillflow::ejection::count::Kind::Slow;
+use sillflow::ejection::count::{Outlier, Scope};
+use sillflow::ejection::evidence::{
     Call, Counts, Evidence, Item, Life, MOST_ITEMS, Recorder, Voter, send_every_ms,
 };
-use sillflow::verdict::holding::{Holding, Terms, Vote};
-use sillflow::verdict::keeper::Trial;
-use sillflow::verdict::list::{Guard, Share, Stage, Why};
+use sillflow::ejection::holding::{Holding, Terms, Vote};
+use sillflow::ejection::keeper::Trial;
+use sillflow::ejection::list::{Guard, Share, Stage, Why};
+use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec, Standing};
+use sillflow::server_stats::Run;
 
 pub const ZONES: usize = 5;
 /// Mean work of a call, and the time past which it is worth nothing, in ms.
--- a/src/back/records/http.rs
+++ b/src/back/records/http.rs
@@ -11,8 +11,8 @@
 use winnow::token::{take, take_till, take_while};
 use winnow::{ModalResult, Parser, Partial};
 
-use crate::knowledge::Run;
 use crate::net::connect::Stream;
+use crate::server_stats::Run;
 
 /// Bytes of all heads of a reply, and of its body, that are read at the most.
 const HEAD_BYTES: usize = 16 * 1024;
--- a/src/back/records/mod.rs
+++ b/src/back/records/mod.rs
@@ -26,14 +26,14 @@
 use crate::config::Peers;
 use crate::exchange::{Call, Handle, Input};
 use crate::interface::Outcome;
-use crate::knowledge::Run;
 use crate::net::connect::{Stream, connect};
 use crate::net::episode::FailureEpisode;
 use crate::net::errors::{Cause, Failure};
 use crate::net::stream::uninterrupted;
-use crate::partners::course::{Next, Tried};
 use crate::peers::{Leg, Routes};
 use crate::route::{Kind, RetryBudget, ServerId};
+use crate::route_exchange::course::{Next, Tried};
+use crate::server_stats::Run;
 
 /// An idle connection is closed after this: sooner than the other side does it, so that no call meets the end.
 const IDLE: Duration = Duration::from_secs(8);
--- a/src/back/records/sites.rs
+++ b/src/back/records/sites.rs
@@ -14,15 +14,15 @@
 use crate::clock::utc_ms;
 use crate::config::RecordsTable;
 use crate::exchange::{Call, Catalog};
-use crate::partners::capacity::Given;
-use crate::partners::course::{Asked, Course, Next, Tried};
-use crate::partners::lookup::InForce;
-use crate::partners::merge::Held;
-use crate::partners::rest::{Standing, Turn};
-use crate::partners::route::{Name, Route};
+use crate::fault_injection::{self, InjectedFault};
 use crate::peers::{Leg, Routes};
-use crate::planted::{self, Planted};
 use crate::route::{Kind, Options, ServerId, Spec};
+use crate::route_exchange::capacity::Given;
+use crate::route_exchange::course::{Asked, Course, Next, Tried};
+use crate::route_exchange::lookup::InForce;
+use crate::route_exchange::merge::Held;
+use crate::route_exchange::rest::{Standing, Turn};
+use crate::route_exchange::route::{Name, Route};
 
 /// Pools that are kept at the most: one for each set of servers of a site that calls go to. The one that was not used for
 /// longest goes first.
@@ -77,7 +77,7 @@
     /// Whether a further try is within the budget of the site where it is, which it then counts to.
     pub(super) fn may_retry(&self) -> bool {
         let budget = self.stop.as_ref().is_some_and(|stop| stop.pool.may_retry());
-        budget || planted::is(Planted::NoBudget)
+        budget || fault_injection::is_active(InjectedFault::NoBudget)
     }
 }
 
@@ -126,7 +126,7 @@
         tried: Tried,
     ) -> Next<Leg> {
         let asked = asked(call, catalog);
-        if planted::is(Planted::NewerTable) {
+        if fault_injection::is_active(InjectedFault::NewerTable) {
             journey.course.planted_turn(&self.table.get());
         }
         if tried == Tried::NotRun
--- a/src/config/copies.rs
+++ b/src/config/copies.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::fault::Fault;
-use crate::copies::slots::{MOST_COPIES, Terms};
+use crate::replication::slots::{MOST_COPIES, Terms};
 
 /// The widest window of a key, in ms.
 const MOST_WINDOW_MS: u64 = 3_600_000;
--- a/src/config/course.rs
+++ b/src/config/course.rs
@@ -6,9 +6,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::ConfigError;
-use crate::partners::merge::{Merged, Tables};
-use crate::partners::route::Name;
-use crate::partners::table::{Table, Terms};
+use crate::route_exchange::merge::{Merged, Tables};
+use crate::route_exchange::route::Name;
+use crate::route_exchange::table::{Table, Terms};
 
 /// Bytes and routes of a file at the most.
 const MOST_BYTES: usize = 64 << 20;
--- a/src/config/duties.rs
+++ b/src/config/duties.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::fault::Fault;
-use crate::duty::lease::LEASE_MS;
-use crate::duty::{DutyName, MOST_DUTIES};
+use crate::lease::expiry::LEASE_MS;
+use crate::lease::{DutyName, MOST_DUTIES};
 
 /// The range of renewals over which a duty may stand still.
 const STILL: (u64, u64) = (2, 10_000);
--- a/src/config/partners.rs
+++ b/src/config/partners.rs
@@ -10,11 +10,11 @@
 use serde::{Deserialize, Serialize};
 
 use super::fault::Fault;
-use crate::duty::DutyName;
-use crate::partners::export::Aggregate;
-use crate::partners::restrict::Restriction;
-use crate::partners::route::{MOST_SERVERS, Match, Name, Route};
-use crate::partners::table::{Grant, Terms};
+use crate::lease::DutyName;
+use crate::route_exchange::export::Aggregate;
+use crate::route_exchange::restrict::Restriction;
+use crate::route_exchange::route::{MOST_SERVERS, Match, Name, Route};
+use crate::route_exchange::table::{Grant, Terms};
 
 /// Partners at the most.
 const MOST_SITES: u64 = 64;
--- a/src/config/verdicts.rs
+++ b/src/config/verdicts.rs
@@ -9,10 +9,10 @@
 
 use super::fault::Fault;
 use super::routes::RecordsTable;
-use crate::duty::DutyName;
-use crate::verdict::cap::{Limits, Member, Word};
-use crate::verdict::count::Rules;
-use crate::verdict::holding::Terms;
+use crate::ejection::cap::{Limits, Member, Word};
+use crate::ejection::count::Rules;
+use crate::ejection::holding::Terms;
+use crate::lease::DutyName;
 
 /// The range of machines that may lie.
 const LIARS: (usize, usize) = (0, 64);
--- a/src/durable/database.rs
+++ b/src/durable/database.rs
@@ -21,7 +21,7 @@
 
 use super::faults::{self, Operation};
 use super::{parent, sync_directory, temporary};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Bytes that the shortest file of a database has: the database reads its head without asking.
 const SHORTEST: u64 = 4096;
@@ -102,7 +102,7 @@
     fn sync_data(&self, eventual: bool) -> io::Result<()> {
         faults::check(Operation::Sync, &self.path)?;
         let synced = self.inner.sync_data(eventual);
-        if planted::is(Planted::SecondSyncBelieved) {
+        if fault_injection::is_active(InjectedFault::SecondSyncBelieved) {
             return synced.or_else(|_| self.inner.sync_data(eventual));
         }
         synced
--- a/src/durable/small.rs
+++ b/src/durable/small.rs
@@ -10,7 +10,7 @@
 
 use super::faults::{self, Operation};
 use super::{create_directory, parent, sync_directory, temporary};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// The calls to the system that a small file needs; tests have others that fail or lose what was not synced.
 pub trait Operations {
@@ -219,7 +219,7 @@
         let mut file = self.operations.create(path)?;
         self.operations.write(&mut file, bytes)?;
         let synced = self.operations.sync(&file);
-        if planted::is(Planted::SecondSyncBelieved) {
+        if fault_injection::is_active(InjectedFault::SecondSyncBelieved) {
             return synced.or_else(|_| self.operations.sync(&file));
         }
         synced
--- a/src/verdict/claims.rs
+++ b/src/ejection/claims.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::wire::Holder;
-use crate::duty::Unproved;
+use crate::lease::Unproved;
 
 /// How long a teller's next claim waits once the store was asked about one, in ms.
 pub const AGAIN_MS: f64 = 500.0;
--- a/src/verdict/holder.rs
+++ b/src/ejection/holder.rs
@@ -19,7 +19,7 @@
 use super::part::{Evident, Report, Seat};
 use super::routes::Routed;
 use super::wire::{Answer, Holder, Said, What, say};
-use crate::duty::{Held, Lost};
+use crate::lease::{Held, Lost};
 
 /// How long the latest list is asked for at the most, before the one that is known is taken up.
 const GATHER: Duration = Duration::from_secs(2);
--- a/src/verdict/latest.rs
+++ b/src/ejection/latest.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::list::{List, Number};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Lists of one machine that are looked at: its nodes may be one list apart.
 const MOST_OF_MACHINE: usize = 2;
@@ -25,7 +25,7 @@
 impl Latest {
     /// For a holder under this number, where so many machines may lie. `own` is the list that it has itself.
     pub fn new(fence: u64, liars: usize, own: Option<List>) -> Self {
-        let needed = if planted::is(Planted::ListUnproved) { 1 } else { liars + 1 };
+        let needed = if fault_injection::is_active(InjectedFault::ListUnproved) { 1 } else { liars + 1 };
         Self { fence, needed, own, told: Vec::new(), of_machine: BTreeMap::new() }
     }
 
--- a/src/verdict/part.rs
+++ b/src/ejection/part.rs
@@ -27,11 +27,11 @@
 use super::list::{Given, List, Listed, Number, Shares};
 use super::wire::Holder;
 use super::{door, holder, voter};
-use crate::duty::lease::now_ms;
-use crate::duty::{Held, Unproved, Voucher};
 use crate::fleet::view::{Node, View};
+use crate::lease::expiry::now_ms;
+use crate::lease::{Held, Unproved, Voucher};
 use crate::net::bind;
-use crate::partners::lookup::InForce;
+use crate::route_exchange::lookup::InForce;
 
 /// Periods in which a voter that is there is heard.
 const HEARD_PERIODS: f64 = 3.0;
--- a/src/verdict/routes.rs
+++ b/src/ejection/routes.rs
@@ -1,12 +1,12 @@
-//! Which servers are bounded together since they serve a route of the merged table of sites ([`crate::partners`]).
+//! Which servers are bounded together since they serve a route of the merged table of sites ([`crate::route_exchange`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use super::cap::Member;
-use crate::partners::lookup::{InForce, Index};
-use crate::partners::merge::{Held, Merged};
+use crate::route_exchange::lookup::{InForce, Index};
+use crate::route_exchange::merge::{Held, Merged};
 
 /// Sets of servers that are told apart. Where there are more, the smallest count: each of these has the least to lose.
 pub const MOST_SETS: usize = 1024;
--- a/src/exchange/answers.rs
+++ b/src/exchange/answers.rs
@@ -6,8 +6,8 @@
 use super::entry::{Entry, Phase};
 use super::kept::{Key, State};
 use super::types::{Anomaly, Answer, TryId};
-use crate::copies::Errand;
 use crate::interface::{Event, Outcome, RequestId};
+use crate::replication::Errand;
 
 impl Exchange {
     pub(super) fn abandon(&mut self, id: RequestId) {
--- a/src/exchange/claims.rs
+++ b/src/exchange/claims.rs
@@ -10,10 +10,10 @@
 use super::time::span;
 use super::types::{Anomaly, Answer, TryId};
 use crate::config::Late;
-use crate::copies::key::{Body, KeyId};
-use crate::copies::register::Fate;
-use crate::copies::{Claim, Errand, News};
 use crate::interface::{Effect, Event, Outcome, RequestId};
+use crate::replication::key::{Body, KeyId};
+use crate::replication::register::Fate;
+use crate::replication::{Claim, Errand, News};
 
 /// How long before the failsafe a claim's or a result's wait is over, in ms.
 const AHEAD_MS: f64 = 10.0;
--- a/src/exchange/inquiry.rs
+++ b/src/exchange/inquiry.rs
@@ -11,8 +11,8 @@
 use super::entry::{Entry, Phase, Wait};
 use super::time::span;
 use super::types::Anomaly;
+use crate::fault_injection::{self, InjectedFault};
 use crate::interface::{Outcome, RequestId};
-use crate::planted::{self, Planted};
 
 /// The first question comes this many deadlines of the class after the caller has surely given the request up: before, a run
 /// that is over might be begun a second time.
@@ -62,7 +62,7 @@
             return self.copied(id);
         }
         let (of, Some(inquiry)) = (entry.of, &mut entry.inquiry) else { return };
-        if planted::is(Planted::PermitByTimer) {
+        if fault_injection::is_active(InjectedFault::PermitByTimer) {
             return self.run_ended(of, Outcome::Error, 0.0, Bytes::new());
         }
         let asks = !is_silent && now >= inquiry.from;
--- a/src/exchange/intake.rs
+++ b/src/exchange/intake.rs
@@ -9,8 +9,8 @@
 use super::time::millis;
 use super::types::{Anomaly, Answer, Ask, Origin, ReplyTo};
 use crate::clock::wall_ms;
+use crate::fault_injection::{self, InjectedFault};
 use crate::interface::{Effect, Event, Request, RequestId};
-use crate::planted::{self, Planted};
 
 /// A request that is due sooner than this when it is read is refused at once, in ms: no run would end in time.
 const HOPELESS_MS: f64 = 2.0 * FAILSAFE_MS;
@@ -184,7 +184,8 @@
 
     /// A time as windows of keys go by it: on the clock, but for a planted error.
     fn key_time(&self, at: f64) -> f64 {
-        let off_ms = planted::is(Planted::WindowOnWallTime).then(|| wall_ms() - self.clock.now());
+        let off_ms =
+            fault_injection::is_active(InjectedFault::WindowOnWallTime).then(|| wall_ms() - self.clock.now());
         at + off_ms.unwrap_or(0.0)
     }
 
--- a/src/exchange/kept.rs
+++ b/src/exchange/kept.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 
+use crate::fault_injection::{self, InjectedFault};
 use crate::interface::RequestId;
-use crate::planted::{self, Planted};
 
 /// Bytes that a key with its row takes, and those that are set aside for a result until it is there.
 const ROW_BYTES: usize = 512;
@@ -132,7 +132,7 @@
     /// The try that a request arriving at `arrived` repeats; for one that cannot carry the key, only one that has begun.
     pub fn earlier(&self, key: &Key, arrived: f64, begun: bool) -> Option<RequestId> {
         let row = self.rows.get(key).filter(|row| arrived <= row.until)?;
-        if planted::is(Planted::RepeatRuns) {
+        if fault_injection::is_active(InjectedFault::RepeatRuns) {
             return None;
         }
         (!begun || row.state != State::Held).then_some(row.holder)
@@ -189,7 +189,7 @@
     /// Marks the run of `id` as begun. False, and nothing changes, where another try has run: a second run
     /// within the window would break the rule on duplicates, whatever the decision module says.
     pub fn begin(&mut self, key: &Key, id: RequestId, arrived: f64, until: f64, digest: u64) -> bool {
-        if planted::is(Planted::RepeatRuns) {
+        if fault_injection::is_active(InjectedFault::RepeatRuns) {
             self.take(key);
         }
         self.hold(key, id, arrived, digest);
--- a/src/exchange/types.rs
+++ b/src/exchange/types.rs
@@ -11,8 +11,8 @@
 
 use super::handed::Handed;
 use crate::config::Site;
-use crate::copies::News;
 use crate::interface::{Outcome, RequestId};
+use crate::replication::News;
 
 /// The name of one try of a request, as its caller and the processor know it: 16 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
--- a/src/planted.rs
+++ b/src/fault_injection.rs
@@ -5,7 +5,7 @@
 
 /// What is done wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     /// The meet lets through what either lets through.
     MeetIsJoin,
     /// An aggregate carries the restrictions of its first part alone.
@@ -63,40 +63,40 @@
 }
 
 thread_local! {
-    static NOW: Cell<Option<Planted>> = const { Cell::new(None) };
+    static NOW: Cell<Option<InjectedFault>> = const { Cell::new(None) };
 }
 
 /// The error that the environment names, for processes that a test starts.
-static OF_PROCESS: LazyLock<Option<Planted>> = LazyLock::new(|| {
+static OF_PROCESS: LazyLock<Option<InjectedFault>> = LazyLock::new(|| {
     let named = std::env::var("SILLFLOW_PLANTED").ok()?;
     let of_processes = [
-        Planted::StaleForEver,
-        Planted::WithdrawalWaits,
-        Planted::LoopIsTold,
-        Planted::NotDecreased,
-        Planted::LowerIsTaken,
-        Planted::ToldUnheard,
-        Planted::AnswersUnheld,
-        Planted::RefusedForgotten,
-        Planted::HolderUnproved,
-        Planted::ListUnproved,
-        Planted::WindowOnWallTime,
-        Planted::AcceptEnds,
-        Planted::PermitByTimer,
-        Planted::CallOverAtClose,
-        Planted::MemoryOfCallers,
-        Planted::ReloadFreesPermits,
-        Planted::RunsAfterGrace,
-        Planted::RepeatRuns,
+        InjectedFault::StaleForEver,
+        InjectedFault::WithdrawalWaits,
+        InjectedFault::LoopIsTold,
+        InjectedFault::NotDecreased,
+        InjectedFault::LowerIsTaken,
+        InjectedFault::ToldUnheard,
+        InjectedFault::AnswersUnheld,
+        InjectedFault::RefusedForgotten,
+        InjectedFault::HolderUnproved,
+        InjectedFault::ListUnproved,
+        InjectedFault::WindowOnWallTime,
+        InjectedFault::AcceptEnds,
+        InjectedFault::PermitByTimer,
+        InjectedFault::CallOverAtClose,
+        InjectedFault::MemoryOfCallers,
+        InjectedFault::ReloadFreesPermits,
+        InjectedFault::RunsAfterGrace,
+        InjectedFault::RepeatRuns,
     ];
     of_processes.into_iter().find(|planted| format!("{planted:?}") == named)
 });
 
 /// Plants an error in all that this thread does from now on, or none.
-pub fn plant(planted: Option<Planted>) {
+pub fn inject(planted: Option<InjectedFault>) {
     NOW.set(planted);
 }
 
-pub(crate) fn is(planted: Planted) -> bool {
+pub(crate) fn is_active(planted: InjectedFault) -> bool {
     cfg!(debug_assertions) && (NOW.get() == Some(planted) || *OF_PROCESS == Some(planted))
 }
--- a/src/fleet/copying.rs
+++ b/src/fleet/copying.rs
@@ -15,13 +15,13 @@
 use tokio::time::timeout;
 
 use crate::config::CopiesTable;
-use crate::copies::disk::{Change as Kept, Disk, DiskError, Found};
-use crate::copies::keeping::Keeping;
-use crate::copies::key::KeyId;
-use crate::copies::report::{Report, Zone};
-use crate::copies::slots::Terms;
-use crate::copies::wire::{Fetch, Message, Page};
-use crate::copies::{Errand, Machine, Members, News, Out};
+use crate::replication::disk::{Change as Kept, Disk, DiskError, Found};
+use crate::replication::keeping::Keeping;
+use crate::replication::key::KeyId;
+use crate::replication::report::{Report, Zone};
+use crate::replication::slots::Terms;
+use crate::replication::wire::{Fetch, Message, Page};
+use crate::replication::{Errand, Machine, Members, News, Out};
 
 use super::follow::Store;
 use super::view::{Change, View};
--- a/src/fleet/daemon.rs
+++ b/src/fleet/daemon.rs
@@ -22,18 +22,18 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::config::FleetTable;
-use crate::copies;
-use crate::copies::disk::DiskError;
 use crate::durable::{LoadError, SmallFile, is_transient};
-use crate::duty::hold::Ends;
-use crate::duty::table::Grants;
+use crate::ejection;
 use crate::frame::{receive_within, send};
+use crate::lease::hold::Ends;
+use crate::lease::table::Grants;
 use crate::net::accept::{self, Acceptor};
 use crate::net::bind::{self, BIND_WITHIN, BindError};
 use crate::net::connect::Stream;
 use crate::net::datagram;
 use crate::net::episode::FailureEpisode;
-use crate::verdict;
+use crate::replication;
+use crate::replication::disk::DiskError;
 
 use super::copying::{Copying, Datagram, Part, Target, Woken};
 use super::follow::{Heard, Store};
@@ -135,9 +135,9 @@
     /// Its part in the duties, where it has one.
     pub duties: Option<Ends>,
     /// Its part in partners' routes, where it has one.
-    pub partners: Option<watch::Receiver<crate::partners::live::Report>>,
+    pub partners: Option<watch::Receiver<crate::route_exchange::live::Report>>,
     /// What it shows of the votes on servers, where it has a part in them.
-    pub verdicts: Option<watch::Receiver<verdict::part::Report>>,
+    pub verdicts: Option<watch::Receiver<ejection::part::Report>>,
     /// Whether this process is the node's only one: until it is, it follows the fleet and does not belong.
     pub alone: watch::Receiver<bool>,
 }
@@ -348,7 +348,7 @@
     /// What it sees of the fleet.
     Report(oneshot::Sender<Report>),
     /// How its copies stand.
-    Copies(oneshot::Sender<Option<copies::report::Report>>),
+    Copies(oneshot::Sender<Option<replication::report::Report>>),
     /// What another node asks about copies.
     Peer(Box<PeerQuestion>, oneshot::Sender<PeerAnswer>),
 }
@@ -456,8 +456,8 @@
     sending: FailureEpisode,
     copying: Option<Copying>,
     duties: Option<Ends>,
-    partners: Option<watch::Receiver<crate::partners::live::Report>>,
-    verdicts: Option<watch::Receiver<verdict::part::Report>>,
+    partners: Option<watch::Receiver<crate::route_exchange::live::Report>>,
+    verdicts: Option<watch::Receiver<ejection::part::Report>>,
     keeps: watch::Sender<Kept>,
     /// Why the view is not kept, while that is so.
     unkept: watch::Receiver<Option<String>>,
--- a/src/fleet/view.rs
+++ b/src/fleet/view.rs
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::copies::place::{Candidate, Field};
-use crate::copies::slots::{MOST_COPIES, Slots, Terms};
+use crate::replication::place::{Candidate, Field};
+use crate::replication::slots::{MOST_COPIES, Slots, Terms};
 
 /// Steps that are kept for those that follow; one that is further behind gets the whole view.
 pub const KEPT: usize = 512;
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -12,8 +12,8 @@
 use crate::frame::{receive_within, send};
 use crate::net::connect::connect;
 
-use crate::copies;
-use crate::duty::table::Grants;
+use crate::lease::table::Grants;
+use crate::replication;
 
 use super::liveness::{Counts, Datagram, Opinion};
 use super::trust::Freshness;
@@ -65,7 +65,7 @@
     /// The sender has the view of this number: where copies move, it is not left to the next probe to say so.
     Newer(u64),
     /// About copies.
-    Copies(Box<copies::wire::Message>),
+    Copies(Box<replication::wire::Message>),
     /// The answer to a question about copies is too long for a datagram: it is told on a connection.
     Whole {
         /// The number of the question.
@@ -149,7 +149,7 @@
     /// It is not, or it is not known, and why.
     Failed(String),
     /// How its copies stand.
-    Copies(Box<copies::report::Report>),
+    Copies(Box<replication::report::Report>),
     /// What it tells another node, in postcard's form.
     Peer(#[serde(with = "crate::base64")] Bytes),
 }
@@ -158,18 +158,18 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerQuestion {
     /// What would be too long as a datagram, there or back.
-    Message(copies::wire::Message),
+    Message(replication::wire::Message),
     /// Some of the keys that it holds.
-    Fetch(copies::wire::Fetch),
+    Fetch(replication::wire::Fetch),
 }
 
 /// What is answered.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerAnswer {
     /// To a message.
-    Message(copies::wire::Message),
+    Message(replication::wire::Message),
     /// The keys; none where they are not held under that epoch.
-    Page(Option<copies::wire::Page>),
+    Page(Option<replication::wire::Page>),
     /// It cannot say.
     Nothing,
 }
@@ -213,13 +213,13 @@
     pub nodes: Vec<Line>,
     /// Its part in the duties, where it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub duties: Option<crate::duty::hold::Report>,
+    pub duties: Option<crate::lease::hold::Report>,
     /// Its part in partners' routes, where it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub partners: Option<crate::partners::live::Report>,
+    pub partners: Option<crate::route_exchange::live::Report>,
     /// Its part in the votes on servers, where it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub verdicts: Option<crate::verdict::part::Report>,
+    pub verdicts: Option<crate::ejection::part::Report>,
 }
 
 /// Why a node cannot be asked.
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -18,8 +18,8 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::exchange::{Anomaly, Handle, Input};
+use crate::fault_injection::{self, InjectedFault};
 use crate::net::accept::Acceptor;
-use crate::planted::{self, Planted};
 use table::{Room, Seat, Table};
 
 /// A client that has said nothing whole for this long is closed: since its connection was accepted, or since it
@@ -101,7 +101,7 @@
         };
         match accepted {
             Ok((stream, _)) => crowd.admit(stream).await,
-            Err(_) if planted::is(Planted::AcceptEnds) => break,
+            Err(_) if fault_injection::is_active(InjectedFault::AcceptEnds) => break,
             Err(_) => crowd.shared.exchange.tell(Input::Anomaly(Anomaly::Unaccepted)).await,
         }
     }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -17,10 +17,10 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::duty::MOST_DUTIES;
-use crate::duty::pass::{Carried, Passed};
 use crate::exchange::{Handed, HandedKey, Handle, Input, Room, Turn};
 use crate::frame::{receive, send};
+use crate::lease::MOST_DUTIES;
+use crate::lease::pass::{Carried, Passed};
 use crate::net::accept::{self, Acceptor};
 use crate::net::stream::Uninterrupted;
 
--- a/src/duty/assign.rs
+++ b/src/lease/assign.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::copies::place::{hash, mix};
+use crate::replication::place::{hash, mix};
 
 /// The number of a node's name or a duty's, for the draw.
 pub fn draw_of(name: &str) -> u64 {
--- a/src/duty/hold.rs
+++ b/src/lease/hold.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, timeout};
 
 use super::ask::{Store, Told, Word};
-use super::lease::now_ms;
+use super::expiry::now_ms;
 use super::own::{Own, Turned};
 use super::pass::{Carried, Passed};
 use super::table::{Deed, Fit, Grant, Grants, Refused, Standing, Work};
--- a/src/duty/mod.rs
+++ b/src/lease/mod.rs
@@ -7,10 +7,10 @@
 
 mod ask;
 pub mod assign;
+pub mod expiry;
 pub mod fence;
 pub mod heartbeat;
 pub mod hold;
-pub mod lease;
 pub mod own;
 pub mod pass;
 pub mod table;
--- a/src/duty/own.rs
+++ b/src/lease/own.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::lease::good_until;
+use super::expiry::good_until;
 use super::table::{Grant, Grants};
 use super::{DutyName, Fence};
 
@@ -40,7 +40,7 @@
         self.session = session;
     }
 
-    /// Until when it may act, on the clock of [`super::lease::now_ms`]; 0 where it may not.
+    /// Until when it may act, on the clock of [`super::expiry::now_ms`]; 0 where it may not.
     pub fn until_ms(&self) -> u64 {
         self.until_ms
     }
--- a/src/duty/pass.rs
+++ b/src/lease/pass.rs
@@ -30,7 +30,7 @@
     pub lease_ms: u64,
     /// What it has: of the duties, those alone that have ended.
     pub own: Own,
-    /// When it was sent, on the clock of [`super::lease::now_ms`].
+    /// When it was sent, on the clock of [`super::expiry::now_ms`].
     pub sent_ms: u64,
     /// The duties, which go before it one by one.
     #[serde(skip)]
--- a/src/duty/table.rs
+++ b/src/lease/table.rs
@@ -1,5 +1,5 @@
 //! The sessions of the nodes and the duties under them, as the store's members agree on it. It knows no clock: what ends
-//! by time is proposed by [`super::lease::Watch`] with the mark that it saw to stand, and does nothing where that has moved.
+//! by time is proposed by [`super::expiry::Watch`] with the mark that it saw to stand, and does nothing where that has moved.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use super::assign::{Field, draw_of};
-use super::lease::LEASE_MS;
+use super::expiry::LEASE_MS;
 use super::{DutyName, MOST_DUTIES, MOST_STATE};
 use crate::fleet::view::MOST_NAME;
 
--- a/src/duty/vouch.rs
+++ b/src/lease/vouch.rs
@@ -12,7 +12,7 @@
 
 use super::DutyName;
 use super::table::Table;
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 use crate::store::{Answer, Query, ask_from};
 
 /// How long one member may take to answer.
@@ -87,7 +87,7 @@
     /// Asks the members in turn, from one drawn at random on, until one knows: a member that lags has not heard of the
     /// latest number, so its word counts only where no other answers.
     async fn ask(&self, number: u64, node: &str) -> Result<Vouched, String> {
-        if planted::is(Planted::HolderUnproved) {
+        if fault_injection::is_active(InjectedFault::HolderUnproved) {
             return Ok(Vouched::Holds);
         }
         let query = Query::Holds { duty: self.duty.clone(), number, node: node.to_owned() };
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -111,7 +111,7 @@
     pub(super) fn admit(&mut self, id: u32, out: &mut Vec<Action>) {
         let Some(entry) = self.table.get(&id) else { return };
         let class = &self.set.classes[entry.class];
-        let too_late = !planted::is(Planted::RunsAfterGrace)
+        let too_late = !fault_injection::is_active(InjectedFault::RunsAfterGrace)
             && self.leaving.is_some_and(|leaving| entry.arrival > leaving.last_arrival);
         let key_kb = entry.keep_until.map_or(0.0, |_| self.set.key_kb);
         let call_wait = if entry.must_call && !self.calls.is_empty() { self.call_wait_ms() } else { 0.0 };
--- a/src/logic/answers.rs
+++ b/src/logic/answers.rs
@@ -39,7 +39,7 @@
         let Some(entry) = self.table.get_mut(&id) else { return };
         out.push(Action::Fail(RequestId(id)));
         entry.leave(self.now);
-        if planted::is(Planted::MemoryOfCallers) && entry.ran() {
+        if fault_injection::is_active(InjectedFault::MemoryOfCallers) && entry.ran() {
             self.ledger.requests_kb -= std::mem::take(&mut entry.booked_kb);
         }
         self.dues.remove(&(micros(entry.due), id));
--- a/src/logic/call_budget.rs
+++ b/src/logic/call_budget.rs
@@ -4,8 +4,8 @@
 
 use super::average::{Average, Span};
 use super::call_time::CallTime;
+use crate::fault_injection::{self, InjectedFault};
 use crate::interface::Below;
-use crate::planted::{self, Planted};
 
 /// A mean call time above this multiple of its learned floor means that what is below is crowded.
 pub(super) const CALL_CROWDED: f64 = 1.6;
@@ -138,7 +138,7 @@
 
     /// A call was given up: it may stay in the dependency's hands for a while.
     pub(super) fn lingers(&mut self, now: f64) {
-        if planted::is(Planted::CallOverAtClose) {
+        if fault_injection::is_active(InjectedFault::CallOverAtClose) {
             return;
         }
         if let Below::Shared { linger_ms, .. } = self.below {
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -29,11 +29,11 @@
 use self::patience::{PATIENCE_PARTS, Patience};
 use self::request::{Entry, Leaving, Phase};
 use self::run_limit::{RunLimit, RunTimes};
+use crate::fault_injection::{self, InjectedFault};
 use crate::interface::{
     Action, Below, Class, Effect, Event, Gauges, Outcome, Request, RequestId, SayKind, Settings,
     SettingsError,
 };
-use crate::planted::{self, Planted};
 use crate::validate::check;
 
 pub use self::limits::{Limits, Outlasting, Reserved};
@@ -158,7 +158,7 @@
             entry.booked_kb += more_kb;
             self.ledger.requests_kb += more_kb;
         }
-        if planted::is(Planted::ReloadFreesPermits) {
+        if fault_injection::is_active(InjectedFault::ReloadFreesPermits) {
             let running = |(id, entry): (&u32, &Entry)| entry.ran().then_some(*id);
             let running: Vec<u32> = self.table.iter().filter_map(running).collect();
             running.into_iter().for_each(|id| self.drop_entry(id));
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -13,7 +13,7 @@
 use super::episode::FailureEpisode;
 use super::errors::{AcceptFailure, accept_failure};
 use super::fault::{Operation, inject};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Pauses after failures for want of something grow from the first to the second of these: it costs little to look again,
 /// and a connection that waits is to be taken soon after there is room.
@@ -122,7 +122,7 @@
         tokio::select! {
             accepted = acceptor.next(), if open.len() < most => match accepted {
                 Ok(connection) => begin(&mut open, connection),
-                Err(_) if planted::is(Planted::AcceptEnds) => break,
+                Err(_) if fault_injection::is_active(InjectedFault::AcceptEnds) => break,
                 // Logged, and tried again behind a pause.
                 Err(_) => {}
             },
--- a/src/node.rs
+++ b/src/node.rs
@@ -21,28 +21,28 @@
 use crate::config::{
     Config, ConfigError, CopiesTable, Descriptors, Operator, Peers, RecordsTable, RoutesTable,
 };
-use crate::copies::News;
-use crate::copies::slots::Terms;
-use crate::duty::pass::Passed;
-use crate::duty::{DutyName, Held, Voucher, heartbeat, hold};
+use crate::ejection;
+use crate::ejection::holding::Terms as Counted;
+use crate::ejection::list::Shares;
 use crate::exchange::{self, Copying, Handed, Handle, Input};
 use crate::fleet;
 use crate::fleet::copying::Part;
 use crate::fleet::view::View;
 use crate::front::{self, Door, Shared, ajp, resp};
 use crate::handover::{self, Place, Said, Successor};
-use crate::inherit;
+use crate::inherited_listener;
 use crate::interface::{RequestId, SettingsError};
+use crate::lease::pass::Passed;
+use crate::lease::{DutyName, Held, Voucher, heartbeat, hold};
 use crate::net::accept::Acceptor;
 use crate::net::bind::{self, BindError};
-use crate::partners::live;
-use crate::partners::lookup::InForce;
 use crate::peers::{Routes, Teller, learn};
+use crate::replication::News;
+use crate::replication::slots::Terms;
 use crate::route::Options;
+use crate::route_exchange::live;
+use crate::route_exchange::lookup::InForce;
 use crate::store::{self, Contents};
-use crate::verdict;
-use crate::verdict::holding::Terms as Counted;
-use crate::verdict::list::Shares;
 
 /// How long before its stop a node gives connections back and stops listening.
 const GIVE_BACK: Duration = Duration::from_millis(900);
@@ -107,7 +107,7 @@
     clock::start();
     let Signals { hangup, mut terminate, mut interrupt } = signals;
     let listener = match config.inherited {
-        Some(descriptor) => inherit::listener(descriptor)?,
+        Some(descriptor) => inherited_listener::listener(descriptor)?,
         None => bind::tcp("the platform", config.listen).await?,
     };
     info!("{} listens on {}", config.name, listener.local_addr()?);
@@ -286,9 +286,9 @@
 /// The node's part in the votes on servers before it begins.
 struct Votes {
     duty: DutyName,
-    options: verdict::part::Options,
+    options: ejection::part::Options,
     terms: Rc<watch::Sender<Counted>>,
-    shown: watch::Receiver<verdict::part::Report>,
+    shown: watch::Receiver<ejection::part::Report>,
 }
 
 impl Votes {
@@ -304,11 +304,11 @@
         let duty = DutyName::new(table.duty.clone()).ok()?;
         let (terms, agreed) = watch::channel(table.terms(records));
         let (shares, given) = watch::channel(Shares::new());
-        let (shown, seen) = watch::channel(verdict::part::Report::default());
+        let (shown, seen) = watch::channel(ejection::part::Report::default());
         let (asks, asked) = mpsc::channel(1);
         spawn_local(routes?.vote(asked, given));
         let in_directory = || fleet.directory.as_ref().map(|directory| directory.join("verdicts.json"));
-        let options = verdict::part::Options {
+        let options = ejection::part::Options {
             name: name.clone(),
             zone: fleet.zone.clone(),
             listen: SocketAddr::new(fleet.listen.ip(), table.port),
@@ -326,7 +326,7 @@
     /// Begins it. What is returned takes the duty's end.
     fn begin(self, view: watch::Receiver<View>, alone: watch::Receiver<bool>) -> Option<Given> {
         let (give, given) = oneshot::channel();
-        match verdict::part::start(self.options, view, alone, given) {
+        match ejection::part::start(self.options, view, alone, given) {
             Ok(()) => Some((self.duty, give)),
             Err(problem) => {
                 error!("this node has no part in the votes: {problem}");
--- a/src/peers/ask.rs
+++ b/src/peers/ask.rs
@@ -14,8 +14,8 @@
 use super::wire::{Question, Subject, Told, VERSION, answer_bytes};
 use crate::config::KnowledgeTable;
 use crate::frame::{receive_within, send};
-use crate::knowledge::{Digest, DigestError};
 use crate::net::connect::connect;
+use crate::server_stats::{Digest, DigestError};
 
 /// Times that a donor is asked, and the wait before the next; what comes later is of little use to a node that has
 /// served meanwhile.
--- a/src/peers/routes.rs
+++ b/src/peers/routes.rs
@@ -12,13 +12,13 @@
 
 use super::wire::Beliefs;
 use crate::config::RecordsTable;
-use crate::knowledge::{Digest, Merged, Run};
+use crate::ejection::count;
+use crate::ejection::evidence::{Call, Counts, Life, Recorder};
+use crate::ejection::keeper::Trial;
+use crate::ejection::list::{Given, Share, Shares};
+use crate::ejection::part::Noted;
 use crate::route::{Choice, Ended, Full, Kind, Pool, ServerId, Spec};
-use crate::verdict::count;
-use crate::verdict::evidence::{Call, Counts, Life, Recorder};
-use crate::verdict::keeper::Trial;
-use crate::verdict::list::{Given, Share, Shares};
-use crate::verdict::part::Noted;
+use crate::server_stats::{Digest, Merged, Run};
 
 /// Classes of evidence: calls that may be made a second time, and all others.
 const SAFE: u8 = 0;
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -2,8 +2,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::knowledge::Digest;
 use crate::route::Belief;
+use crate::server_stats::Digest;
 
 /// The version of what is said here. Another one is turned down with this number.
 pub const VERSION: u32 = 1;
--- a/src/report.rs
+++ b/src/report.rs
@@ -2,9 +2,9 @@
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
-use sillflow::copies::report::Report as Copies;
 use sillflow::fleet::wire::Report;
 use sillflow::peers::wire::Beliefs;
+use sillflow::replication::report::Report as Copies;
 use sillflow::route::{Belief, Standing};
 use sillflow::store::{MemberView, Status};
 
@@ -21,7 +21,7 @@
 }
 
 fn heard(belief: &Belief) -> String {
-    let say = |heard: &sillflow::knowledge::Heard| {
+    let say = |heard: &sillflow::server_stats::Heard| {
         let age = seconds(Some(heard.age_ms));
         format!("{} {:.2}x, weight {:.1}, {age} s ago", heard.teller, heard.log_time.exp(), heard.weight)
     };
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! A [`Pool`] learns of each server how its times compare with the pool's, how often it fails, when it started and
 //! what is in hand there, and chooses by expected finish among a few candidates drawn at random. What other nodes say
-//! ([`crate::knowledge`]) is prior evidence beside it.
+//! ([`crate::server_stats`]) is prior evidence beside it.
 
 mod budget;
 mod choice;
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -14,8 +14,10 @@
 use super::outlier::{Measured, median, outliers};
 use super::server::{Server, ServerId, Spec, Standing, Start, TRIALS};
 use super::slow_start::{self, Terms};
-use crate::knowledge::{Digest, Heard, Inherited, Item, MOST_AGE_MS, MOST_LOG, Merged, Prior, Run, Sample};
-use crate::verdict::list::Share;
+use crate::ejection::list::Share;
+use crate::server_stats::{
+    Digest, Heard, Inherited, Item, MOST_AGE_MS, MOST_LOG, Merged, Prior, Run, Sample,
+};
 
 /// Time between looks at the whole pool, and the least time before one that failures in a row call for, in ms.
 const REVIEW_MS: f64 = 1_000.0;
--- a/src/route/server.rs
+++ b/src/route/server.rs
@@ -7,7 +7,7 @@
 
 use super::estimate::{Mean, Rate};
 use super::slow_start;
-use crate::verdict::list::Share;
+use crate::ejection::list::Share;
 
 slotmap::new_key_type! {
     /// Names a server for as long as it is in the pool; one that comes back later has a new name.
--- a/src/partners/admit.rs
+++ b/src/route_exchange/admit.rs
@@ -8,7 +8,7 @@
 use super::restrict::Restrictions;
 use super::route::{Name, Route};
 use super::table::{Document, Refused, Table, Terms, Version};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Penalties of a route that flaps, halved each `HALF_LIFE_MS`, in the manner of RFC 2439: one for each change.
 const PENALTY: f64 = 1000.0;
@@ -304,7 +304,7 @@
     pub fn tick(&mut self, now: u64) -> Vec<Change> {
         let mut changes = Vec::new();
         let is_over = self.stale_for(now).is_some_and(|stale| stale >= self.terms.stale_ms);
-        if is_over && !planted::is(Planted::StaleForEver) {
+        if is_over && !fault_injection::is_active(InjectedFault::StaleForEver) {
             let all: Vec<Name> = self.in_force.keys().cloned().collect();
             all.iter().for_each(|name| self.put(name, None, &mut changes));
             self.kept.clear();
--- a/src/partners/board.rs
+++ b/src/route_exchange/board.rs
@@ -10,7 +10,7 @@
 use super::merge::{Change, Held, Merged, Superseded};
 use super::route::{Match, Name};
 use super::table::{Document, Terms, Version};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Versions whose differences are at hand; who is further behind is told all.
 const MOST_VERSIONS: usize = 1024;
@@ -234,7 +234,7 @@
     /// # Errors
     /// Nothing is changed: it is old, or does not follow.
     pub fn take(&mut self, feed: Feed, now: u64) -> Result<bool, NotTaken> {
-        if feed.version < self.version && !planted::is(Planted::LowerIsTaken) {
+        if feed.version < self.version && !fault_injection::is_active(InjectedFault::LowerIsTaken) {
             return Err(NotTaken::Below { told: feed.version, seen: self.version });
         }
         if feed.from.is_some_and(|from| from != self.version) {
@@ -270,7 +270,7 @@
             stand.stale_for(now) >= terms.get(*name).map_or(UNKNOWN_STALE_MS, |terms| terms.stale_ms)
         };
         let over: Vec<Name> = self.partners.iter().filter(is_over).map(|(name, _)| name.clone()).collect();
-        if planted::is(Planted::StaleForEver) {
+        if fault_injection::is_active(InjectedFault::StaleForEver) {
             return false;
         }
         let of = |name: &Name| {
--- a/src/partners/capacity.rs
+++ b/src/route_exchange/capacity.rs
@@ -5,7 +5,7 @@
 use foldhash::fast::RandomState;
 
 use super::route::Name;
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// The part of a second's requests that may come at once.
 const AT_ONCE: f64 = 0.1;
@@ -25,7 +25,8 @@
     pub fn may(&self, site: &Name, route: &Name, capacity: u64, now: f64) -> bool {
         let rests_at = self.rests_at.get(site).and_then(|routes| routes.get(route));
         let spare = 1000.0 * AT_ONCE - 1000.0 / capacity.max(1) as f64;
-        planted::is(Planted::NoCapacity) || rests_at.is_none_or(|rests_at| *rests_at - now <= spare.max(0.0))
+        fault_injection::is_active(InjectedFault::NoCapacity)
+            || rests_at.is_none_or(|rests_at| *rests_at - now <= spare.max(0.0))
     }
 
     /// Counts a request that a route was given.
--- a/src/partners/course.rs
+++ b/src/route_exchange/course.rs
@@ -6,7 +6,7 @@
 
 use super::merge::{Held, Merged};
 use super::route::{Name, Request, Subjects};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// A request, as far as it is known.
 #[derive(Clone, Copy, Debug)]
@@ -81,7 +81,7 @@
         now: u64,
         mut take: impl FnMut(&Held) -> Option<T>,
     ) -> Next<T> {
-        if !safe && tried == Tried::MayHaveRun && !planted::is(Planted::RunAgain) {
+        if !safe && tried == Tried::MayHaveRun && !fault_injection::is_active(InjectedFault::RunAgain) {
             return Next::Nowhere;
         }
         let (request, now) = (asked.request(), self.moment(now));
@@ -108,12 +108,12 @@
     }
 
     fn moment(&self, now: u64) -> u64 {
-        if planted::is(Planted::EndForgotten) { self.began } else { now }
+        if fault_injection::is_active(InjectedFault::EndForgotten) { self.began } else { now }
     }
 
     /// What must not happen: it goes on by another table.
     pub(crate) fn planted_turn(&mut self, newer: &Arc<Merged>) {
-        if planted::is(Planted::NewerTable) {
+        if fault_injection::is_active(InjectedFault::NewerTable) {
             self.table = newer.clone();
         }
     }
--- a/src/partners/export.rs
+++ b/src/route_exchange/export.rs
@@ -13,7 +13,7 @@
 use super::restrict::{Restrictions, Sites, may_tell};
 use super::route::{MOST_PATH, MOST_SERVERS, Match, Name, Route};
 use super::table::{Document, MOST_THROUGH, Version};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Routes in one document of differences.
 pub const MOST_CHANGES: usize = 1000;
@@ -87,7 +87,7 @@
         if parts.is_empty() || through.len() > MOST_THROUGH {
             return None;
         }
-        let carried = if planted::is(Planted::AggregateLoses) { 1 } else { parts.len() };
+        let carried = if fault_injection::is_active(InjectedFault::AggregateLoses) { 1 } else { parts.len() };
         Some(Route {
             name: aggregate.name.clone(),
             matches: aggregate.matches.clone(),
@@ -251,7 +251,7 @@
         }
         let told = self.told.get(&key);
         let is_urgent = match (told, &wished) {
-            _ if planted::is(Planted::WithdrawalWaits) => false,
+            _ if fault_injection::is_active(InjectedFault::WithdrawalWaits) => false,
             (Some(_), None) => true,
             (Some(told), Some(wished)) => !told.restrictions.no_looser(&wished.restrictions),
             _ => false,
--- a/src/partners/lead.rs
+++ b/src/route_exchange/lead.rs
@@ -11,7 +11,7 @@
 use super::route::{Match, Name, Route};
 use super::table::{Document, Fault, Refused, Terms, Version};
 use super::turns::{Batch, Turns};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// A new holder tells partners nothing until it has heard all of them, or for so long, in ms.
 pub const SETTLE_MS: u64 = 1000;
@@ -54,7 +54,7 @@
 }
 
 fn withheld(held: &Held) -> Held {
-    let withdrawn = !planted::is(Planted::ToldUnheard);
+    let withdrawn = !fault_injection::is_active(InjectedFault::ToldUnheard);
     Held { withdrawn: held.withdrawn || withdrawn, ..held.clone() }
 }
 
@@ -159,7 +159,9 @@
         if !self.own_is_read || !self.exports.is_whole() {
             return false;
         }
-        has_all || now.own.saturating_sub(self.began) >= SETTLE_MS || planted::is(Planted::ToldUnheard)
+        has_all
+            || now.own.saturating_sub(self.began) >= SETTLE_MS
+            || fault_injection::is_active(InjectedFault::ToldUnheard)
     }
 
     fn partner(&self, name: &Name) -> Option<&Partner> {
@@ -198,7 +200,7 @@
         self.partners.insert(from.clone(), Some(partner));
         if refused.is_none() {
             self.last.insert(from.clone(), now.own);
-        } else if planted::is(Planted::RefusedForgotten) {
+        } else if fault_injection::is_active(InjectedFault::RefusedForgotten) {
             batch = Batch::new(Vec::new(), false);
         }
         self.turns.put(from, batch);
--- a/src/partners/live.rs
+++ b/src/route_exchange/live.rs
@@ -29,10 +29,10 @@
 use crate::clock::boot_id;
 use crate::config::{PartnersTable, SiteTable};
 use crate::durable::{create_directory, is_transient};
-use crate::duty::hold::Held;
-use crate::duty::{DutyName, Guard, Voucher};
+use crate::fault_injection::{self, InjectedFault};
 use crate::fleet::view::View;
-use crate::planted::{self, Planted};
+use crate::lease::hold::Held;
+use crate::lease::{DutyName, Guard, Voucher};
 
 pub use super::site::{Doubted, NotFollowed, Report, Shown};
 
@@ -193,7 +193,7 @@
         }
         asking.spawn_local(go_on(site.clone()));
         let wished = tokio::select! {
-            lost = held.lost(), if !planted::is(Planted::AnswersUnheld) => {
+            lost = held.lost(), if !fault_injection::is_active(InjectedFault::AnswersUnheld) => {
                 info!("partners: {lost}");
                 false
             }
--- a/src/partners/restrict.rs
+++ b/src/route_exchange/restrict.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 use super::route::{Name, Route};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
 
 /// Clauses and names that one route may carry, each; with more it is told to nobody.
 pub const MOST_CLAUSES: usize = 16;
@@ -155,7 +155,7 @@
     /// What both allow: the greatest that is no looser than either. It is commutative, associative and idempotent.
     #[must_use]
     pub fn meet(&self, other: &Self) -> Self {
-        if planted::is(Planted::MeetIsJoin) {
+        if fault_injection::is_active(InjectedFault::MeetIsJoin) {
             return if self.further >= other.further { self.clone() } else { other.clone() };
         }
         let tenants = match (&self.tenants, &other.tenants) {
@@ -200,7 +200,7 @@
     /// As the next site has it: one site less to go.
     #[must_use]
     pub fn passed_on(&self) -> Self {
-        let one = u32::from(!planted::is(Planted::NotDecreased));
+        let one = u32::from(!fault_injection::is_active(InjectedFault::NotDecreased));
         Self { further: self.further.map(|sites| sites.saturating_sub(one)), ..self.clone() }.normal()
     }
 
@@ -211,7 +211,7 @@
 
     /// Whether it may be part of a wider route.
     pub fn may_widen(&self) -> bool {
-        !self.unmerged || planted::is(Planted::UnmergedIsMerged)
+        !self.unmerged || fault_injection::is_active(InjectedFault::UnmergedIsMerged)
     }
 
     /// When it ends, in ms since 1970 (UTC).
@@ -277,7 +277,7 @@
 /// The reason why not.
 pub fn may_tell(route: &Route, to: &Name, sites: &Sites, now: u64) -> Result<(), Withheld> {
     let Restrictions { only, not, further, tenants, .. } = &route.restrictions;
-    if route.came_through(to) && !planted::is(Planted::LoopIsTold) {
+    if route.came_through(to) && !fault_injection::is_active(InjectedFault::LoopIsTold) {
         return Err(Withheld::Loop);
     }
     if *further == Some(0) {
--- a/src/partners/site.rs
+++ b/src/route_exchange/site.rs
@@ -23,10 +23,10 @@
 use super::table::{Terms, Version};
 use crate::clock::utc_ms;
 use crate::config::{PartnersTable, SiteTable};
-use crate::duty::hold::Held;
-use crate::duty::lease::now_ms;
-use crate::duty::{Fence, Guard, Unproved, Voucher};
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
+use crate::lease::expiry::now_ms;
+use crate::lease::hold::Held;
+use crate::lease::{Fence, Guard, Unproved, Voucher};
 
 /// How long a node that is not followed is shown, in ms.
 const DOUBTED_MS: u64 = 600_000;
@@ -225,7 +225,7 @@
     pub fn leads(&self) -> Option<u64> {
         let inside = self.inside.borrow();
         let (leading, held) = inside.leading.as_ref()?;
-        let may = held.check().is_ok() || planted::is(Planted::AnswersUnheld);
+        let may = held.check().is_ok() || fault_injection::is_active(InjectedFault::AnswersUnheld);
         may.then(|| leading.number())
     }
 
--- a/src/store/lossy.rs
+++ b/src/store/lossy.rs
@@ -13,8 +13,8 @@
 use super::disk::Disk;
 use super::map::{Batch, Deed, Logged};
 use super::{Change, Types};
-use crate::copies::disk as copies;
-use crate::planted::{self, Planted};
+use crate::fault_injection::{self, InjectedFault};
+use crate::replication::disk as copies;
 
 /// A write, or a new length, that waits for a sync.
 #[derive(Clone, Debug)]
@@ -240,9 +240,9 @@
     let steps = [Step::Append(2, 2000), Step::Mark, Step::Append(3, 300), Step::Cut(1), Step::Append(1, 900)];
     let faults = || (0..12).filter_map(|syncs| one_sync_fails(&steps, syncs, 0).err()).collect::<Vec<_>>();
     assert_eq!(faults(), Vec::<String>::new());
-    planted::plant(Some(Planted::SecondSyncBelieved));
+    fault_injection::inject(Some(InjectedFault::SecondSyncBelieved));
     let found = faults();
-    planted::plant(None);
+    fault_injection::inject(None);
     assert!(!found.is_empty(), "nothing is found");
 }
 
--- a/src/store/map.rs
+++ b/src/store/map.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-use crate::duty::table as duty;
 use crate::fleet::view as fleet;
+use crate::lease::table as duty;
 
 use super::decide::members::Place;
 use super::disk::{Disk, DiskError};
--- a/src/store/member.rs
+++ b/src/store/member.rs
@@ -14,8 +14,8 @@
 
 use crate::config::StoreOptions;
 
-use crate::duty::{DutyName, table as duty};
 use crate::fleet::view as fleet;
+use crate::lease::{DutyName, table as duty};
 
 use super::decide::members::{Limits, Place};
 use super::inquire::{self, Found};
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -32,8 +32,8 @@
 use tokio::sync::watch;
 
 use crate::config::StoreOptions;
-use crate::duty::{DutyName, Vouched, table as duty};
 use crate::fleet::view as fleet;
+use crate::lease::{DutyName, Vouched, table as duty};
 use crate::net::bind;
 use decide::members::Place;
 use enter::{End, Session};
--- a/src/store/steward.rs
+++ b/src/store/steward.rs
@@ -8,9 +8,9 @@
 use openraft::ChangeMembers;
 use tokio::time::{sleep, timeout};
 
-use crate::duty::lease::{Watch, now_ms};
-use crate::duty::table as duty;
 use crate::fleet::wire::Packet;
+use crate::lease::expiry::{Watch, now_ms};
+use crate::lease::table as duty;
 
 use super::decide::members::{Place, Seen, Sight, Step};
 use super::inquire;
--- a/tests/copies_model.rs
+++ b/tests/copies_model.rs
@@ -8,12 +8,12 @@
 
 use bytes::Bytes;
 use rstest::rstest;
-use sillflow::copies::holder::Holder;
-use sillflow::copies::key::{Body, KeyId};
-use sillflow::copies::proposal::{Next, Proposal, Verdict, Wish};
-use sillflow::copies::register::{Ballot, Claimant, Fate};
-use sillflow::copies::slots::Slot;
-use sillflow::copies::wire::{Ask, Fetch, Said, What};
+use sillflow::replication::holder::Holder;
+use sillflow::replication::key::{Body, KeyId};
+use sillflow::replication::proposal::{Next, Proposal, Verdict, Wish};
+use sillflow::replication::register::{Ballot, Claimant, Fate};
+use sillflow::replication::slots::Slot;
+use sillflow::replication::wire::{Ask, Fetch, Said, What};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const KEY: KeyId = KeyId(7 << 100);
--- a/tests/copies_rules.rs
+++ b/tests/copies_rules.rs
@@ -11,15 +11,15 @@
 use rand::Rng;
 use rig::copied::{Broken, Seen, Weather, World, judge};
 use rstest::rstest;
-use sillflow::copies::holder::Holder;
-use sillflow::copies::keeping::Keeping;
-use sillflow::copies::key::{Body, KeyId, SLOTS};
-use sillflow::copies::place::{Candidate, Field};
-use sillflow::copies::proposal::{Next, Proposal, Verdict, Wish};
-use sillflow::copies::register::{Ballot, Claimant, Fate, Row, Value};
-use sillflow::copies::slots::{Slot, Slots, Terms};
-use sillflow::copies::wire::{Ask, Fetch, Held, Message, Said, What};
 use sillflow::fleet::view::Change;
+use sillflow::replication::holder::Holder;
+use sillflow::replication::keeping::Keeping;
+use sillflow::replication::key::{Body, KeyId, SLOTS};
+use sillflow::replication::place::{Candidate, Field};
+use sillflow::replication::proposal::{Next, Proposal, Verdict, Wish};
+use sillflow::replication::register::{Ballot, Claimant, Fate, Row, Value};
+use sillflow::replication::slots::{Slot, Slots, Terms};
+use sillflow::replication::wire::{Ask, Fetch, Held, Message, Said, What};
 
 /// Names, machines and zones of so many nodes.
 fn names(count: usize) -> Vec<(u64, String, String, String)> {
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -9,14 +9,14 @@
 
 use rstest::rstest;
 use sillflow::durable::{LoadError, Operations, SmallFile, is_transient};
-use sillflow::duty::{DutyName, Fence, Guard, Stale};
-use sillflow::partners::asking::Line;
-use sillflow::partners::board::Board;
-use sillflow::partners::keep::{self, Stamp};
-use sillflow::partners::route::Name;
-use sillflow::planted::{Planted, plant};
-use sillflow::verdict::kept::KeptGuard;
-use sillflow::verdict::list::{List, Number};
+use sillflow::ejection::kept::KeptGuard;
+use sillflow::ejection::list::{List, Number};
+use sillflow::fault_injection::{InjectedFault, inject};
+use sillflow::lease::{DutyName, Fence, Guard, Stale};
+use sillflow::route_exchange::asking::Line;
+use sillflow::route_exchange::board::Board;
+use sillflow::route_exchange::keep::{self, Stamp};
+use sillflow::route_exchange::route::Name;
 
 /// One file's bytes as the process reads them, and as they are on the platter.
 #[derive(Clone, Debug, Default)]
@@ -196,9 +196,9 @@
 
 #[rstest]
 fn a_second_sync_that_is_believed_is_found() {
-    plant(Some(Planted::SecondSyncBelieved));
+    inject(Some(InjectedFault::SecondSyncBelieved));
     let found = all_violations();
-    plant(None);
+    inject(None);
     assert!(!found.is_empty(), "nothing is found");
 }
 
--- a/tests/duties.rs
+++ b/tests/duties.rs
@@ -12,9 +12,9 @@
 use rig::target::{LEASE_MS, Target, node_of};
 use rig::{PATIENCE, Rig, until};
 use rstest::rstest;
-use sillflow::duty::DutyName;
-use sillflow::duty::table::{Grant, Grants, Standing};
 use sillflow::fleet::wire::Packet;
+use sillflow::lease::DutyName;
+use sillflow::lease::table::{Grant, Grants, Standing};
 
 const NODES: usize = 5;
 const TARGET: usize = NODES + 1;
--- a/tests/duties_rules.rs
+++ b/tests/duties_rules.rs
@@ -9,10 +9,10 @@
 use duties::{Broken, Plant, Seen, gaps, history, judge};
 use proptest::prelude::*;
 use rstest::rstest;
-use sillflow::duty::lease::{self, Watch};
-use sillflow::duty::own::Own;
-use sillflow::duty::table::{Deed, Fit, Grant, Grants, Refused, Standing, State, Table, Work};
-use sillflow::duty::{DutyName, Fence, Guard, Stale, Vouched};
+use sillflow::lease::expiry::{self, Watch};
+use sillflow::lease::own::Own;
+use sillflow::lease::table::{Deed, Fit, Grant, Grants, Refused, Standing, State, Table, Work};
+use sillflow::lease::{DutyName, Fence, Guard, Stale, Vouched};
 
 const LEASE: u64 = 1000;
 
@@ -101,7 +101,7 @@
     let mut table = table(duties, 1);
     let wished = |table: &Table| {
         let moves =
-            |duty: &sillflow::duty::table::Duty| matches!(duty.state, State::Held { hand_on: Some(_), .. });
+            |duty: &sillflow::lease::table::Duty| matches!(duty.state, State::Held { hand_on: Some(_), .. });
         table.duties().filter(|(_, duty)| moves(duty)).count()
     };
     // The last one can do none of them: it keeps nobody else from its share.
@@ -261,7 +261,7 @@
     let mut table = table(2, 2);
     let mut watch = Watch::default();
     assert_eq!(watch.look(10_000, &table), []);
-    let within = 10_000 + lease::in_force_ms(LEASE);
+    let within = 10_000 + expiry::in_force_ms(LEASE);
     table.apply(renew(2, Fit::Ready, Vec::new()), &all).expect("it lives");
     let late = watch.look(within, &table);
     let mark = renewed(&table, 1);
@@ -306,7 +306,7 @@
     let mut watch = Watch::default();
     watch.look(0, &table);
     table.apply(renew(by, Fit::Ready, Vec::new()), &all).expect("it lives");
-    let ended = watch.look(lease::in_force_ms(LEASE) + 1, &table);
+    let ended = watch.look(expiry::in_force_ms(LEASE) + 1, &table);
     assert!(ended.contains(&Deed::Ended { duty: name(0), number }), "{ended:?}");
     table.apply(Deed::Ended { duty: name(0), number }, &all).expect("no error");
     for table in [confirmed, table] {
@@ -328,7 +328,7 @@
         assert_eq!(table.duty(&name(0)).expect("a duty").state == State::Aside, death % 3 == 0);
         if death % 3 == 0 {
             assert_eq!(table.standing().aside, [name(0)]);
-            let aside = lease::aside_ms(table.duty(&name(0)).expect("a duty").asides);
+            let aside = expiry::aside_ms(table.duty(&name(0)).expect("a duty").asides);
             let mut watch = Watch::default();
             watch.look(0, &table);
             let comes = |deeds: Vec<Deed>| deeds.contains(&Deed::Return { duty: name(0), number });
--- a/tests/partners.rs
+++ b/tests/partners.rs
@@ -16,11 +16,11 @@
 use rstest::rstest;
 use serde_json::json;
 use sillflow::config::Operator;
-use sillflow::partners::asking::{Feed, Told};
-use sillflow::partners::board::{Board, NotTaken};
-use sillflow::partners::restrict::{Audience, Restriction};
-use sillflow::partners::table::Version;
-use sillflow::planted::{Planted, plant};
+use sillflow::fault_injection::{InjectedFault, inject};
+use sillflow::route_exchange::asking::{Feed, Told};
+use sillflow::route_exchange::board::{Board, NotTaken};
+use sillflow::route_exchange::restrict::{Audience, Restriction};
+use sillflow::route_exchange::table::Version;
 use sites::{Between, Broken, FIRST_MS, FOLLOWED_MS, Fleet, Mode, STALE_MS, Stand, World};
 use slow::name;
 
@@ -740,12 +740,12 @@
 }
 
 #[rstest]
-#[case::a_loop_is_told(Planted::LoopIsTold, what_comes_back)]
-#[case::tightening_in_a_bad_document_is_let_go(Planted::RefusedForgotten, tightened_beside_a_fault)]
-#[case::stale_tables_have_no_end(Planted::StaleForEver, tightened_and_silent)]
-#[case::what_was_kept_is_told_unheard(Planted::ToldUnheard, withdrawn_and_restored)]
-#[case::the_lease_is_not_looked_at(Planted::AnswersUnheld, asked_past_its_lease)]
-fn planted_errors_are_found(#[case] planted: Planted, #[case] history: fn(&str) -> Vec<Broken>) {
+#[case::a_loop_is_told(InjectedFault::LoopIsTold, what_comes_back)]
+#[case::tightening_in_a_bad_document_is_let_go(InjectedFault::RefusedForgotten, tightened_beside_a_fault)]
+#[case::stale_tables_have_no_end(InjectedFault::StaleForEver, tightened_and_silent)]
+#[case::what_was_kept_is_told_unheard(InjectedFault::ToldUnheard, withdrawn_and_restored)]
+#[case::the_lease_is_not_looked_at(InjectedFault::AnswersUnheld, asked_past_its_lease)]
+fn planted_errors_are_found(#[case] planted: InjectedFault, #[case] history: fn(&str) -> Vec<Broken>) {
     assert_eq!(history(""), []);
     // On a busy machine a history may not come as far as the error.
     assert!((0..3).any(|_| !history(&format!("{planted:?}")).is_empty()));
@@ -775,9 +775,9 @@
     let below = board.take(feed(4, 1, None, 4), 0);
     assert!(matches!(below, Err(NotTaken::Below { .. })), "{below:?}");
     assert_eq!(board.held().count(), 2);
-    plant(Some(Planted::LowerIsTaken));
+    inject(Some(InjectedFault::LowerIsTaken));
     let planted = board.take(feed(4, 1, None, 4), 0);
-    plant(None);
+    inject(None);
     assert_eq!(planted, Ok(true), "the planted error is one");
 }
 
--- a/tests/partners_path.rs
+++ b/tests/partners_path.rs
@@ -24,13 +24,13 @@
 use sillflow::back::records::sites::Sites;
 use sillflow::config::{Pairs, Peers, parse};
 use sillflow::exchange::{Call, Exchange, Origin, TryId};
+use sillflow::fault_injection::{InjectedFault, inject};
 use sillflow::interface::RequestId;
-use sillflow::partners::lookup::InForce;
-use sillflow::partners::merge::{Merged, Tables};
-use sillflow::partners::route::Name;
-use sillflow::partners::table::{Table, Terms};
-use sillflow::planted::{Planted, plant};
 use sillflow::route::Options;
+use sillflow::route_exchange::lookup::InForce;
+use sillflow::route_exchange::merge::{Merged, Tables};
+use sillflow::route_exchange::route::Name;
+use sillflow::route_exchange::table::{Table, Terms};
 use support::resp::{Answer, FrontEnd};
 use support::{Node, http_reply, settings, try_id, unix_ms};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -535,18 +535,18 @@
 }
 
 #[rstest]
-#[case::run_again(Planted::RunAgain, |broken: &Broken| matches!(broken, Broken::RanTwice { .. }))]
-#[case::newer_table(Planted::NewerTable, |broken: &Broken| matches!(broken, Broken::NotAllowed { .. }))]
-#[case::end_forgotten(Planted::EndForgotten, |broken: &Broken| matches!(broken, Broken::NotAllowed { .. }))]
-#[case::no_capacity(Planted::NoCapacity, |broken: &Broken| matches!(broken, Broken::OverCapacity { .. }))]
-#[case::no_budget(Planted::NoBudget, |broken: &Broken| matches!(broken, Broken::OverBudget { .. }))]
-fn a_planted_error_is_found(#[case] planted: Planted, #[case] finds: fn(&Broken) -> bool) {
-    plant(Some(planted));
+#[case::run_again(InjectedFault::RunAgain, |broken: &Broken| matches!(broken, Broken::RanTwice { .. }))]
+#[case::newer_table(InjectedFault::NewerTable, |broken: &Broken| matches!(broken, Broken::NotAllowed { .. }))]
+#[case::end_forgotten(InjectedFault::EndForgotten, |broken: &Broken| matches!(broken, Broken::NotAllowed { .. }))]
+#[case::no_capacity(InjectedFault::NoCapacity, |broken: &Broken| matches!(broken, Broken::OverCapacity { .. }))]
+#[case::no_budget(InjectedFault::NoBudget, |broken: &Broken| matches!(broken, Broken::OverBudget { .. }))]
+fn a_planted_error_is_found(#[case] planted: InjectedFault, #[case] finds: fn(&Broken) -> bool) {
+    inject(Some(planted));
     let found = (0..30).any(|seed| {
         let (asked, tables, seen) = on_this_thread(drawn(seed));
         check(&asked, &tables, &seen).iter().any(finds)
     });
-    plant(None);
+    inject(None);
     assert!(found, "{planted:?} in none of 30 histories");
 }
 
--- a/tests/partners_rules.rs
+++ b/tests/partners_rules.rs
@@ -15,16 +15,16 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use sillflow::partners::admit::Partner;
-use sillflow::partners::board::Board;
-use sillflow::partners::course::{Asked, Course, Next, Tried};
-use sillflow::partners::export::{Aggregate, Exports, MOST_CHANGES, NotTold, Rules};
-use sillflow::partners::lead::{Leading, Now};
-use sillflow::partners::merge::{Change, Held, Merged, Tables, join};
-use sillflow::partners::restrict::{Restriction, Restrictions, Sites, may_tell};
-use sillflow::partners::route::{Match, Name, Route};
-use sillflow::partners::table::{Document, Grant, Table, Terms, Version};
-use sillflow::planted::{Planted, plant};
+use sillflow::fault_injection::{InjectedFault, inject};
+use sillflow::route_exchange::admit::Partner;
+use sillflow::route_exchange::board::Board;
+use sillflow::route_exchange::course::{Asked, Course, Next, Tried};
+use sillflow::route_exchange::export::{Aggregate, Exports, MOST_CHANGES, NotTold, Rules};
+use sillflow::route_exchange::lead::{Leading, Now};
+use sillflow::route_exchange::merge::{Change, Held, Merged, Tables, join};
+use sillflow::route_exchange::restrict::{Restriction, Restrictions, Sites, may_tell};
+use sillflow::route_exchange::route::{Match, Name, Route};
+use sillflow::route_exchange::table::{Document, Grant, Table, Terms, Version};
 use slow::{Announced, Draw, agrees, name};
 
 const NOW: u64 = 1000;
@@ -453,7 +453,7 @@
 
 #[rstest]
 fn a_withdrawal_that_waits_is_found() {
-    plant(Some(Planted::WithdrawalWaits));
+    inject(Some(InjectedFault::WithdrawalWaits));
     let (mut merged, mut exports, all) = told_home(2000);
     let to = name("s1");
     let first = exports.answer(&to, None, 1000).expect("a partner").expect("all");
@@ -463,7 +463,7 @@
     let matches = merged.apply(7, &changes).expect("the number");
     exports.changed(&merged, &matches, NOW);
     let next = exports.answer(&to, Some(first.version), 1000).expect("a partner").expect("more");
-    plant(None);
+    inject(None);
     assert!(next.gone.is_empty(), "the withdrawal is behind the queue");
 }
 
@@ -653,7 +653,7 @@
 
 #[rstest]
 fn readers_keep_the_table_that_they_began_with() {
-    let in_force = sillflow::partners::lookup::InForce::default();
+    let in_force = sillflow::route_exchange::lookup::InForce::default();
     let (merged, ..) = told_home(3);
     in_force.set(merged);
     let before = in_force.get();
@@ -694,21 +694,21 @@
 }
 
 #[rstest]
-#[case(Planted::MeetIsJoin)]
-#[case(Planted::AggregateLoses)]
-#[case(Planted::StaleForEver)]
-#[case(Planted::NotDecreased)]
-#[case(Planted::LoopIsTold)]
-#[case(Planted::UnmergedIsMerged)]
-#[case(Planted::WithdrawalWaits)]
-fn a_planted_error_is_found(#[case] error: Planted) {
-    plant(Some(error));
+#[case(InjectedFault::MeetIsJoin)]
+#[case(InjectedFault::AggregateLoses)]
+#[case(InjectedFault::StaleForEver)]
+#[case(InjectedFault::NotDecreased)]
+#[case(InjectedFault::LoopIsTold)]
+#[case(InjectedFault::UnmergedIsMerged)]
+#[case(InjectedFault::WithdrawalWaits)]
+fn a_planted_error_is_found(#[case] error: InjectedFault) {
+    inject(Some(error));
     let found = (0..20).any(|seed| {
         // A loop is turned down where it comes: what is seen is that routes are missing there.
         let (broken, missing, restless) = history(seed, 600);
         !broken.is_empty() || missing + restless > 0
     });
-    plant(None);
+    inject(None);
     assert!(found, "{error:?}");
 }
 
--- a/tests/rig/copied.rs
+++ b/tests/rig/copied.rs
@@ -6,12 +6,12 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sillflow::copies::key::{Body, KeyId};
-use sillflow::copies::register::Fate;
-use sillflow::copies::slots::Terms;
-use sillflow::copies::wire::{Fetch, Message, Page};
-use sillflow::copies::{Claim, Errand, Machine, Members, News, Out};
 use sillflow::fleet::view::{Applicant, Change, View};
+use sillflow::replication::key::{Body, KeyId};
+use sillflow::replication::register::Fate;
+use sillflow::replication::slots::Terms;
+use sillflow::replication::wire::{Fetch, Message, Page};
+use sillflow::replication::{Claim, Errand, Machine, Members, News, Out};
 
 /// How long a key's window lasts, in ms.
 pub const WINDOW_MS: u64 = 8000;
--- a/tests/rig/copies.rs
+++ b/tests/rig/copies.rs
@@ -11,8 +11,8 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
-use sillflow::copies::report::Report;
 use sillflow::fleet::wire::{Question, Told, ask};
+use sillflow::replication::report::Report;
 
 use super::copied::Seen;
 use super::{PATIENCE, Rig, until, wait};
--- a/tests/rig/duties.rs
+++ b/tests/rig/duties.rs
@@ -5,10 +5,10 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sillflow::duty::lease::Watch;
-use sillflow::duty::own::Own;
-use sillflow::duty::table::{Deed, Fit, Grants, Refused, State, Table, Work};
-use sillflow::duty::{DutyName, Fence, Guard};
+use sillflow::lease::expiry::Watch;
+use sillflow::lease::own::Own;
+use sillflow::lease::table::{Deed, Fit, Grants, Refused, State, Table, Work};
+use sillflow::lease::{DutyName, Fence, Guard};
 
 /// What was seen from outside, in the order in which it was.
 #[derive(Clone, Debug, PartialEq)]
--- a/tests/rig/partnered.rs
+++ b/tests/rig/partnered.rs
@@ -7,12 +7,12 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sillflow::partners::admit::Partner;
-use sillflow::partners::export::{Aggregate, Exports, Rules};
-use sillflow::partners::merge::{Change, Held, Merged};
-use sillflow::partners::restrict::{Restriction, Sites};
-use sillflow::partners::route::{Match, Name, Route, Subjects};
-use sillflow::partners::table::{Document, Terms};
+use sillflow::route_exchange::admit::Partner;
+use sillflow::route_exchange::export::{Aggregate, Exports, Rules};
+use sillflow::route_exchange::merge::{Change, Held, Merged};
+use sillflow::route_exchange::restrict::{Restriction, Sites};
+use sillflow::route_exchange::route::{Match, Name, Route, Subjects};
+use sillflow::route_exchange::table::{Document, Terms};
 
 use crate::slow::{Draw, Groups, lets, name};
 
--- a/tests/rig/partners.rs
+++ b/tests/rig/partners.rs
@@ -8,11 +8,11 @@
 
 use rand::Rng;
 use rand::rngs::SmallRng;
-use sillflow::partners::export::{Aggregate, Exports, MOST_CHANGES};
-use sillflow::partners::merge::{Held, Merged};
-use sillflow::partners::restrict::{Audience, MOST_CLAUSES, MOST_NAMED, Restriction, Restrictions};
-use sillflow::partners::route::{Match, Name, Request, Route, Subjects};
-use sillflow::partners::table::Document;
+use sillflow::route_exchange::export::{Aggregate, Exports, MOST_CHANGES};
+use sillflow::route_exchange::merge::{Held, Merged};
+use sillflow::route_exchange::restrict::{Audience, MOST_CLAUSES, MOST_NAMED, Restriction, Restrictions};
+use sillflow::route_exchange::route::{Match, Name, Request, Route, Subjects};
+use sillflow::route_exchange::table::Document;
 
 pub fn name(text: impl AsRef<str>) -> Name {
     Name::try_from(text.as_ref()).expect("a name")
--- a/tests/rig/sites.rs
+++ b/tests/rig/sites.rs
@@ -10,9 +10,9 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use sillflow::partners::live::Report;
-use sillflow::partners::restrict::Restriction;
-use sillflow::partners::route::Name;
+use sillflow::route_exchange::live::Report;
+use sillflow::route_exchange::restrict::Restriction;
+use sillflow::route_exchange::route::Name;
 
 use crate::rig::relay::{PARTNERS, Relay};
 use crate::rig::{PATIENCE, Rig, until};
--- a/tests/rig/target.rs
+++ b/tests/rig/target.rs
@@ -10,8 +10,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng as _, SeedableRng};
-use sillflow::duty::heartbeat::{Heartbeat, Reply};
-use sillflow::duty::{DutyName, Fence, Guard, Stale};
+use sillflow::lease::heartbeat::{Heartbeat, Reply};
+use sillflow::lease::{DutyName, Fence, Guard, Stale};
 
 use super::duties::{Broken, Seen, judge};
 use super::fleet::STORE;
--- a/tests/rig/verdicts.rs
+++ b/tests/rig/verdicts.rs
@@ -13,11 +13,11 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
-use sillflow::verdict::count::Scope;
-use sillflow::verdict::evidence::{Evidence, Item};
-use sillflow::verdict::list::{List, Listed, Number, Stage, Why};
-use sillflow::verdict::part::Report;
-use sillflow::verdict::wire::{Answer, QUESTION_BYTES, Said, What, receive, say, send};
+use sillflow::ejection::count::Scope;
+use sillflow::ejection::evidence::{Evidence, Item};
+use sillflow::ejection::list::{List, Listed, Number, Stage, Why};
+use sillflow::ejection::part::Report;
+use sillflow::ejection::wire::{Answer, QUESTION_BYTES, Said, What, receive, say, send};
 
 use super::copies::Work;
 use super::relay::VERDICTS;
--- a/tests/route.rs
+++ b/tests/route.rs
@@ -6,8 +6,8 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use rstest::rstest;
-use sillflow::knowledge::{Digest, DigestError, Item, Run};
 use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec, Standing};
+use sillflow::server_stats::{Digest, DigestError, Item, Run};
 
 fn at(n: u16) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 9000 + n))
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -7,8 +7,8 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use sillflow::knowledge::Run;
 use sillflow::route::{Choice, Ended, Full, Kind, Options, PROCESSES_UNKNOWN, Pool, Spec, slow_start_bound};
+use sillflow::server_stats::Run;
 
 /// Time in which a server warms, in ms, and that between two steps of the simulation.
 const WARM_MS: f64 = 4_000.0;
--- a/tests/verdict_rules.rs
+++ b/tests/verdict_rules.rs
@@ -10,23 +10,23 @@
 use rstest::rstest;
 use serde_json::json;
 use sillflow::config::Operator;
-use sillflow::partners::merge::{Change, Held, Merged};
-use sillflow::route::{self, Ended, Options, Pool, Spec};
-use sillflow::verdict::asking::{MOST_ASKED, ask};
-use sillflow::verdict::cap::{Decision, Gone, Limits, Member, Reason, Word, decide};
-use sillflow::verdict::claims::{AGAIN_MS, Claims, Heard};
-use sillflow::verdict::count::{Doubt, Findings, Kind, Outlier, Planted, Rules, Scope, judge, least_voters};
-use sillflow::verdict::evidence::{
+use sillflow::ejection::asking::{MOST_ASKED, ask};
+use sillflow::ejection::cap::{Decision, Gone, Limits, Member, Reason, Word, decide};
+use sillflow::ejection::claims::{AGAIN_MS, Claims, Heard};
+use sillflow::ejection::count::{Doubt, Findings, Kind, Outlier, Planted, Rules, Scope, judge, least_voters};
+use sillflow::ejection::evidence::{
     Book, Call, Counts, Evidence, EvidenceError, Item, Life, MOST_BYTES, MOST_ITEMS, Recorder, SLOT_MS, Voter,
 };
-use sillflow::verdict::holding::{Holding, Terms, Vote};
-use sillflow::verdict::keeper::{CALM_MS, Keeper, OUT_MS, TRIAL_MS, Trial, out_ms};
-use sillflow::verdict::kept::{KeepError, KeptGuard};
-use sillflow::verdict::latest::Latest;
-use sillflow::verdict::list::{Guard, KEEP_MS, List, ListError, Listed, Number, Share, Stage, Why};
-use sillflow::verdict::routes::routes_of;
-use sillflow::verdict::sequential::{Wealth, bet, contribution, pooled, recovered};
-use sillflow::verdict::wire::Holder;
+use sillflow::ejection::holding::{Holding, Terms, Vote};
+use sillflow::ejection::keeper::{CALM_MS, Keeper, OUT_MS, TRIAL_MS, Trial, out_ms};
+use sillflow::ejection::kept::{KeepError, KeptGuard};
+use sillflow::ejection::latest::Latest;
+use sillflow::ejection::list::{Guard, KEEP_MS, List, ListError, Listed, Number, Share, Stage, Why};
+use sillflow::ejection::routes::routes_of;
+use sillflow::ejection::sequential::{Wealth, bet, contribution, pooled, recovered};
+use sillflow::ejection::wire::Holder;
+use sillflow::route::{self, Ended, Options, Pool, Spec};
+use sillflow::route_exchange::merge::{Change, Held, Merged};
 
 const ZONES: usize = 3;
 
--- a/tests/verdicts.rs
+++ b/tests/verdicts.rs
@@ -15,14 +15,14 @@
 use rig::{PATIENCE, Rig, until};
 use rstest::rstest;
 use serde_json::json;
-use sillflow::duty::Unproved;
-use sillflow::verdict::cap::{Limits, Member, Reason};
-use sillflow::verdict::count::{Kind, Outlier, Planted, Rules, Scope};
-use sillflow::verdict::evidence::{Counts, Evidence, Item, Life, Voter};
-use sillflow::verdict::holding::{Holding, Terms, Vote};
-use sillflow::verdict::keeper::OUT_MS;
-use sillflow::verdict::list::{List, Listed, Number, Stage, Why};
-use sillflow::verdict::wire::Answer;
+use sillflow::ejection::cap::{Limits, Member, Reason};
+use sillflow::ejection::count::{Kind, Outlier, Planted, Rules, Scope};
+use sillflow::ejection::evidence::{Counts, Evidence, Item, Life, Voter};
+use sillflow::ejection::holding::{Holding, Terms, Vote};
+use sillflow::ejection::keeper::OUT_MS;
+use sillflow::ejection::list::{List, Listed, Number, Stage, Why};
+use sillflow::ejection::wire::Answer;
+use sillflow::lease::Unproved;
 
 const NODES: usize = 6;
 /// A bad server is removed at every node within this, on a machine that is busy.
