--- a/src/command.rs
+++ b/src/command.rs
@@ -68,7 +68,7 @@
 pub(crate) fn copies(at: SocketAddr, json: bool) -> Result<(), Failure> {
     match runtime()?.block_on(fleet::wire::ask(at, &Question::Copies))? {
         Told::Copies(seen) if json => println!("{}", serde_json::to_string_pretty(&seen)?),
-        Told::Copies(seen) => print!("{}", report::copies(&seen)),
+        Told::Copies(seen) => print!("{}", report::replication(&seen)),
         Told::Failed(problem) => return Err(problem.into()),
         other => return Err(format!("it answers what was not asked: {other:?}").into()),
     }
@@ -211,7 +211,7 @@
 fn members_out(members: &[MemberView], json: bool) -> Result<(), Failure> {
     match json {
         true => println!("{}", serde_json::to_string_pretty(members)?),
-        false => print!("{}", report::members(members)),
+        false => print!("{}", report::store_members(members)),
     }
     Ok(())
 }
@@ -219,7 +219,7 @@
 fn status_out(status: &Status, json: bool) -> Result<(), Failure> {
     match json {
         true => println!("{}", serde_json::to_string_pretty(status)?),
-        false => print!("{}", report::status(status)),
+        false => print!("{}", report::store_status(status)),
     }
     match &status.trouble {
         Some(trouble) => Err(trouble.clone().into()),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -24,7 +24,7 @@
 
 use crate::interface::SettingsError;
 use crate::route::PROCESSES_UNKNOWN;
-use crate::validate::check;
+use crate::validate::check_settings;
 
 pub use copies::{CopiesTable, Late};
 pub use course::{RoutesFile, RoutesTable};
@@ -217,7 +217,7 @@
         let seed =
             if file.seed.is_empty() { 0 } else { u64::from_str_radix(&file.seed, 16).map_err(bad_seed)? };
         let site = parse(&Pairs::from_json(&file.settings)).map_err(ConfigError::Value)?;
-        check(&site.settings)?;
+        check_settings(&site.settings)?;
         check_classes(&file.settings)?;
         Ok(Self {
             name: file.name,
--- a/src/exchange/calls.rs
+++ b/src/exchange/calls.rs
@@ -28,7 +28,7 @@
         let (of, origin, body, work) = (entry.of, entry.origin, pending.body.clone(), entry.hint_ms);
         let safe = self.site.settings.classes[entry.class].effect == Effect::Safe;
         let wait_ms = (give_up_at.min(entry.due) - now).max(1.0);
-        let repeatable = safe && self.controller.has_room_for_a_repeat();
+        let repeatable = safe && self.controller.can_repeat_call();
         let call =
             Call { id, serial: self.serials, of, origin, wait_ms, work, body, safe, repeatable, given_up };
         let _ = self.out.to_below.send(call);
--- a/src/exchange/lifecycle.rs
+++ b/src/exchange/lifecycle.rs
@@ -63,7 +63,7 @@
         let mut site = self.site.retuned(new);
         // What the processor said of itself at its start holds whatever the new file says.
         site.settings.cold |= self.site.settings.cold;
-        if let Err(problem) = self.controller.retune(site.settings.clone()) {
+        if let Err(problem) = self.controller.update_settings(site.settings.clone()) {
             return warn!("the settings stay as they were: {problem}");
         }
         for (class, (old, new)) in self.site.settings.classes.iter().zip(&site.settings.classes).enumerate() {
@@ -99,8 +99,8 @@
         if self.up && cold && started - before > RESTARTED_MS {
             info!("the processor has started anew, cold, since {age_ms} ms");
             self.site.settings.cold = true;
-            let _ = self.controller.retune(self.site.settings.clone());
-            self.controller.cold_since(started);
+            let _ = self.controller.update_settings(self.site.settings.clone());
+            self.controller.set_cold_start(started);
         }
         if self.leaving || std::mem::replace(&mut self.up, true) {
             return;
--- a/src/exchange/succession.rs
+++ b/src/exchange/succession.rs
@@ -12,7 +12,7 @@
 use super::runs::whole_ms;
 use super::time::span;
 use crate::interface::RequestId;
-use crate::logic::Reserved;
+use crate::logic::ReservedCapacity;
 
 /// No window that is handed over lasts longer than this, in ms: 30 days.
 const MOST_LEFT_MS: f64 = 30.0 * 86_400_000.0;
@@ -175,7 +175,7 @@
     /// given up, as its connections are closed, and linger.
     pub(super) fn alone(&mut self) {
         let Room { booked_kb, runs, calls } = std::mem::take(&mut self.elsewhere);
-        self.controller.inherit_lingering(self.clock.now(), calls);
+        self.controller.add_lingering_calls(self.clock.now(), calls);
         if runs > 0 {
             warn!("the process before has left {runs} runs with {booked_kb:.0} kB behind");
             self.elsewhere = Room { booked_kb, runs, calls: 0 };
@@ -208,6 +208,6 @@
     /// Leaves the decision module the memory, the crowd on the cores and the calls that the process before does not take.
     pub(super) fn share_room(&mut self) {
         let Room { booked_kb, runs, calls } = self.elsewhere;
-        self.controller.reserve(Reserved { booked_kb, runs, calls });
+        self.controller.set_reserved(ReservedCapacity { booked_kb, runs, calls });
     }
 }
--- a/src/exchange/transitions.rs
+++ b/src/exchange/transitions.rs
@@ -2,7 +2,7 @@
 
 use log::{info, warn};
 
-use crate::logic::{Limits, Outlasting};
+use crate::logic::{Limits, OrphanedRuns};
 
 /// A state that comes and goes is logged again after this at the earliest, in ms.
 const LOG_AGAIN_MS: f64 = 5_000.0;
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub(super) struct Transitions {
     outlasting: Condition,
-    most: Outlasting,
+    most: OrphanedRuns,
     exhausted: Condition,
     memory: Condition,
     calls: Condition,
@@ -64,7 +64,7 @@
         match self.exhausted.turn(now, limits.exhausted) {
             Some(Edge::Begins) => warn!(
                 "requests are turned away: runs that outlast their callers leave no room for others (crowd {}, memory {:.0}%)",
-                limits.crowd,
+                limits.survivable_runs,
                 100.0 * limits.memory_used
             ),
             Some(Edge::Ends(ms)) => info!("requests are taken again after {ms:.0} ms: runs have ended"),
@@ -75,7 +75,7 @@
             Some(Edge::Ends(ms)) => info!("memory allows runs again after {ms:.0} ms"),
             None => {}
         }
-        match self.calls.turn(now, limits.calls_shut) {
+        match self.calls.turn(now, limits.calls_blocked) {
             Some(Edge::Begins) => info!("calls wait: this node's share of what lies below is in use"),
             Some(Edge::Ends(ms)) => info!("calls go on after {ms:.0} ms"),
             None => {}
@@ -84,7 +84,7 @@
     }
 
     fn look_at_outlasting(&mut self, now: f64, limits: &Limits) {
-        let Outlasting { runs, booked_kb, longest_ms } = limits.outlasting;
+        let OrphanedRuns { runs, booked_kb, longest_ms } = limits.orphaned;
         self.most.runs = self.most.runs.max(runs);
         self.most.longest_ms = self.most.longest_ms.max(longest_ms);
         match self.outlasting.turn(now, runs > 0) {
@@ -98,16 +98,16 @@
             None => {}
         }
         if runs == 0 {
-            self.most = Outlasting::default();
+            self.most = OrphanedRuns::default();
         }
     }
 
     fn look_at_limits(&mut self, now: f64, limits: &Limits) {
         let moved = |from: u32, to: u32| f64::from(to.abs_diff(from)) > MOVED * f64::from(from);
-        let has_moved = moved(self.runs, limits.runs) || moved(self.crowd, limits.crowd);
+        let has_moved = moved(self.runs, limits.runs) || moved(self.crowd, limits.survivable_runs);
         if has_moved && self.moved_at.is_none_or(|at| now - at >= LOG_AGAIN_MS) {
-            info!("{} requests may run at once; the cores survive {}", limits.runs, limits.crowd);
-            (self.runs, self.crowd, self.moved_at) = (limits.runs, limits.crowd, Some(now));
+            info!("{} requests may run at once; the cores survive {}", limits.runs, limits.survivable_runs);
+            (self.runs, self.crowd, self.moved_at) = (limits.runs, limits.survivable_runs, Some(now));
         }
     }
 }
--- a/src/logic/call_budget.rs
+++ b/src/logic/call_budget.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether a further call could begin beside those in hand, with no more than is saved up.
-    pub(super) fn has_room_for_a_repeat(&self) -> bool {
+    pub(super) fn can_repeat_call(&self) -> bool {
         self.credit >= 0.0 && self.load() + 1.0 <= self.limit.floor()
     }
 
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -34,9 +34,9 @@
     Action, Below, Class, Effect, Event, Gauges, Outcome, Request, RequestId, SayKind, Settings,
     SettingsError,
 };
-use crate::validate::check;
+use crate::validate::check_settings;
 
-pub use self::limits::{Limits, Outlasting, Reserved};
+pub use self::limits::{Limits, OrphanedRuns, ReservedCapacity};
 
 /// Gap between wake-ups, ms: a fraction of any answer slack, yet only 50 wake-ups a second.
 const WAKE_MS: f64 = 20.0;
@@ -86,8 +86,8 @@
     unread: Average,
     patient_links: f64,
     leaving: Option<Leaving>,
-    reserved: Reserved,
-    outlasting: Outlasting,
+    reserved: ReservedCapacity,
+    outlasting: OrphanedRuns,
     exhausted: bool,
 }
 
@@ -97,7 +97,7 @@
     /// # Errors
     /// Names the first field that is negative or not a number, or a class without an aim or a deadline.
     pub fn new(seed: u64, settings: Settings) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        check_settings(&settings)?;
         let cores = f64::from(settings.cores.max(1));
         let mut budget = CallBudget { below: settings.below, limit: f64::INFINITY, ..CallBudget::default() };
         if matches!(settings.below, Below::Shared { .. }) {
@@ -129,8 +129,8 @@
             unread: Average::default(),
             patient_links: 1.0,
             leaving: None,
-            reserved: Reserved::default(),
-            outlasting: Outlasting::default(),
+            reserved: ReservedCapacity::default(),
+            outlasting: OrphanedRuns::default(),
             exhausted: false,
             set: settings,
         })
@@ -141,8 +141,8 @@
     ///
     /// # Errors
     /// Names the first field that makes no sense, or the list that lacks a place; the old ones stay in force.
-    pub fn retune(&mut self, settings: Settings) -> Result<(), SettingsError> {
-        check(&settings)?;
+    pub fn update_settings(&mut self, settings: Settings) -> Result<(), SettingsError> {
+        check_settings(&settings)?;
         if settings.classes.len() < self.times.len() {
             return Err(SettingsError { field: "classes", problem: "a place is gone" });
         }
@@ -192,19 +192,19 @@
     }
 
     /// Whether a call that was just placed may be made a second time, without a further place for it.
-    pub fn has_room_for_a_repeat(&self) -> bool {
-        self.budget.has_room_for_a_repeat()
+    pub fn can_repeat_call(&self) -> bool {
+        self.budget.can_repeat_call()
     }
 
     /// Leaves this much of the server to the requests of another process.
-    pub fn reserve(&mut self, reserved: Reserved) {
+    pub fn set_reserved(&mut self, reserved: ReservedCapacity) {
         self.reserved = reserved;
         self.ledger.reserved_kb = reserved.booked_kb;
         self.budget.reserved = f64::from(reserved.calls);
     }
 
     /// Calls of a process that has ended may linger where they were made.
-    pub fn inherit_lingering(&mut self, now: f64, calls: u32) {
+    pub fn add_lingering_calls(&mut self, now: f64, calls: u32) {
         (0..calls).for_each(|_| self.budget.lingers(now));
     }
 
@@ -213,17 +213,17 @@
         let used_kb = self.ledger.used_kb();
         Limits {
             runs: self.limit.limit.floor() as u32,
-            crowd: self.ceiling().floor() as u32,
+            survivable_runs: self.ceiling().floor() as u32,
             memory_used: if self.ledger.limit_kb > 0.0 { used_kb / self.ledger.limit_kb } else { 0.0 },
             memory_short: !self.ledger.fits(0.0, MEMORY_MARKS.1),
-            calls_shut: !self.calls.is_empty() && !self.budget.open(),
+            calls_blocked: !self.calls.is_empty() && !self.budget.open(),
             exhausted: self.exhausted,
-            outlasting: self.outlasting,
+            orphaned: self.outlasting,
         }
     }
 
     /// The cores have started anew, cold, at this clock time.
-    pub fn cold_since(&mut self, started_at: f64) {
+    pub fn set_cold_start(&mut self, started_at: f64) {
         self.started_at = Some(started_at);
     }
 
--- a/src/logic/runs.rs
+++ b/src/logic/runs.rs
@@ -71,7 +71,7 @@
     /// turned away as they come and health checks fail, until there is proof that some have ended: silence is
     /// none.
     pub(super) fn look_for_outlasting(&mut self, out: &mut Vec<Action>) {
-        let mut found = Outlasting::default();
+        let mut found = OrphanedRuns::default();
         for entry in self.table.values_mut().filter(|entry| entry.answered && entry.ran()) {
             let since_ms = self.now - entry.answered_at;
             entry.outlasting = since_ms > OUTLASTS_DEADLINES * self.set.classes[entry.class].deadline_ms;
--- a/src/main.rs
+++ b/src/main.rs
@@ -168,7 +168,7 @@
     if json {
         println!("{}", serde_json::to_string_pretty(&beliefs)?);
     } else {
-        print!("{}", report::table(&beliefs));
+        print!("{}", report::servers(&beliefs));
     }
     Ok(())
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -29,7 +29,7 @@
 }
 
 /// What a node believes of each server, and of those who told it something.
-pub fn table(beliefs: &Beliefs) -> String {
+pub fn servers(beliefs: &Beliefs) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header([
         "server",
@@ -69,7 +69,7 @@
 }
 
 /// The members of the store.
-pub fn members(members: &[MemberView]) -> String {
+pub fn store_members(members: &[MemberView]) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header([
         "number",
@@ -95,7 +95,7 @@
 }
 
 /// How one member of the store stands.
-pub fn status(status: &Status) -> String {
+pub fn store_status(status: &Status) -> String {
     let lines = [
         ("member", format!("{} ({})", status.number, status.member)),
         ("cluster", or_dash(status.cluster.as_ref())),
@@ -152,7 +152,7 @@
 }
 
 /// How the copies of a node stand.
-pub fn copies(report: &Copies) -> String {
+pub fn replication(report: &Copies) -> String {
     let terms = report.terms.map_or("nothing is copied yet".to_owned(), |terms| {
         format!("{} copies of each key, windows of up to {} s", terms.copies, terms.window_ms / 1000)
     });
--- a/src/validate.rs
+++ b/src/validate.rs
@@ -21,7 +21,7 @@
 }
 
 /// Every number must be finite and not negative, and each class needs an aim and a deadline.
-pub(crate) fn check(set: &Settings) -> Result<(), SettingsError> {
+pub(crate) fn check_settings(set: &Settings) -> Result<(), SettingsError> {
     let numbers = [
         ("memory_kb", set.memory_kb),
         ("run_factor", set.run_factor),
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -45,10 +45,10 @@
     let mut other = settings();
     other.classes[SAFE].retired = true;
     other.classes.push(added);
-    script.controller.retune(other.clone()).expect("settings make sense");
+    script.controller.update_settings(other.clone()).expect("settings make sense");
     assert!(ran(&script.submit(51, 3), 51), "the class that was added runs");
     other.classes.truncate(2);
-    assert!(script.controller.retune(other).is_err(), "open requests would lose their class");
+    assert!(script.controller.update_settings(other).is_err(), "open requests would lose their class");
     // Two run and one is held: by what was learned, a run takes too long for another to wait for it.
     script.submit(52, PLAIN);
     assert!(refused(&script.submit(53, PLAIN), 53));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -165,7 +165,7 @@
         let mut script = Script::new(Settings { below, ..settings() });
         script.submit(1, SAFE);
         script.after(1.0, &[Event::Needs(RequestId(1))]);
-        assert_eq!(script.controller.has_room_for_a_repeat(), room, "a share of {share}");
+        assert_eq!(script.controller.can_repeat_call(), room, "a share of {share}");
     }
 }
 
@@ -187,10 +187,16 @@
     let mut script = Script::new(settings());
     assert!(ran(&script.submit(1, PLAIN), 1) && ran(&script.submit(2, PLAIN), 2));
     let booked = script.controller.booked_kb();
-    script.controller.retune(Settings { run_factor: 8.0, ..settings() }).expect("settings make sense");
+    script
+        .controller
+        .update_settings(Settings { run_factor: 8.0, ..settings() })
+        .expect("settings make sense");
     script.done(1.0, 1);
     assert!(script.controller.booked_kb() >= booked / 2.0, "{} kB", script.controller.booked_kb());
-    script.controller.retune(Settings { run_factor: 2.0, ..settings() }).expect("settings make sense");
+    script
+        .controller
+        .update_settings(Settings { run_factor: 2.0, ..settings() })
+        .expect("settings make sense");
     assert!(script.controller.booked_kb() >= booked / 2.0, "it runs on with what it has taken");
     script.submit(3, PLAIN);
     script.done(1.0, 2);
