--- a/benches/knowledge/clients.rs
+++ b/benches/knowledge/clients.rs
@@ -5,8 +5,8 @@
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
-use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec};
-use sillflow::server_stats::{Digest, Run};
+use sillflow::route::{CallEnd, CallEndKind, Choice, Options, Pool, Spec};
+use sillflow::server_stats::{Digest, StartReport};
 
 use crate::world::{Client, Server};
 
@@ -39,7 +39,7 @@
     pub fn told(mut self, now: f64, digests: &[Digest]) -> Self {
         for digest in digests {
             digest.check().expect("a digest in form");
-            self.pool.inherit(now, digest);
+            self.pool.merge_digest(now, digest);
         }
         self
     }
@@ -56,9 +56,9 @@
     fn ended(&mut self, now: f64, server: &Server, _: usize, call: usize, ok: bool, took_ms: f64) {
         let choice = self.open.remove(&call).expect("an open call");
         let started = server.start_at(now);
-        let run = Some(Run { incarnation: Some(started.to_bits()), up_ms: Some(now - started) });
-        let kind = if ok { Kind::Served } else { Kind::Failed };
-        self.pool.ended(now, &choice, &Ended { kind, took_ms, run });
+        let run = Some(StartReport { incarnation: Some(started.to_bits()), up_ms: Some(now - started) });
+        let kind = if ok { CallEndKind::Served } else { CallEndKind::Failed };
+        self.pool.finish_call(now, &choice, &CallEnd { kind, took_ms, run });
     }
 }
 
--- a/benches/knowledge/main.rs
+++ b/benches/knowledge/main.rs
@@ -15,8 +15,8 @@
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use report::Report;
-use sillflow::route::{Ended, Kind, Options, Pool};
-use sillflow::server_stats::{Digest, Item, Run};
+use sillflow::route::{CallEnd, CallEndKind, Options, Pool};
+use sillflow::server_stats::{Digest, ServerStats, StartReport};
 use world::{Client, Outcome, Server, play};
 
 const SEEDS: u64 = 40;
@@ -106,7 +106,7 @@
 
 type Plant = fn(u64, Digest) -> Vec<Digest>;
 
-fn each(mut digest: Digest, change: impl Fn(&mut Item)) -> Vec<Digest> {
+fn each(mut digest: Digest, change: impl Fn(&mut ServerStats)) -> Vec<Digest> {
     digest.items.iter_mut().for_each(change);
     vec![digest]
 }
@@ -114,15 +114,15 @@
 /// Donors that are wrong, each in its own way.
 const PLANTS: [(&str, Plant); 9] = [
     ("speeds inverted", |_, honest| each(honest, |item| item.log_time = -item.log_time)),
-    ("all failures nil", |_, honest| each(honest, |item| (item.failed, item.out) = (0.0, false))),
+    ("all failures nil", |_, honest| each(honest, |item| (item.failed, item.ejected) = (0.0, false))),
     ("the worst server praised", |_, mut honest| {
-        let worst = |a: &&mut Item, b: &&mut Item| a.log_time.total_cmp(&b.log_time);
+        let worst = |a: &&mut ServerStats, b: &&mut ServerStats| a.log_time.total_cmp(&b.log_time);
         if let Some(item) = honest.items.iter_mut().max_by(worst) {
             (item.log_time, item.failed, item.samples) = (-3.0, 0.0, 1e6);
         }
         vec![honest]
     }),
-    ("its links broken", |_, honest| each(honest, |item| (item.failed, item.out) = (item.calls, true))),
+    ("its links broken", |_, honest| each(honest, |item| (item.failed, item.ejected) = (item.calls, true))),
     ("inverted and failures turned round", |_, honest| {
         each(honest, |item| {
             (item.log_time, item.failed, item.samples) =
@@ -141,19 +141,19 @@
         for (item, from) in honest.items.iter_mut().zip(order) {
             (item.log_time, item.failed, item.calls) =
                 (old[from].log_time, old[from].failed, old[from].calls);
-            (item.age_ms, item.run) = (30_000.0, Run { incarnation: None, up_ms: None });
+            (item.age_ms, item.run) = (30_000.0, StartReport { incarnation: None, up_ms: None });
         }
         vec![honest]
     }),
     ("one of two, the other inverted", |_, honest| {
         let mut liar = honest.clone();
-        liar.teller = "liar".to_owned();
+        liar.reporter = "liar".to_owned();
         liar.items.iter_mut().for_each(|item| item.log_time = -item.log_time);
         vec![honest, liar]
     }),
     ("one of three, one inverted, one broken", |_, honest| {
         let (mut liar, mut broken) = (honest.clone(), honest.clone());
-        (liar.teller, broken.teller) = ("liar".to_owned(), "broken".to_owned());
+        (liar.reporter, broken.reporter) = ("liar".to_owned(), "broken".to_owned());
         liar.items.iter_mut().for_each(|item| item.log_time = -item.log_time);
         broken.items.iter_mut().for_each(|item| item.failed = item.calls);
         vec![honest, liar, broken]
@@ -238,7 +238,7 @@
 
 /// A digest of so many servers, as a long-running instance would tell it.
 fn large(count: usize) -> Digest {
-    let item = |at: usize| Item {
+    let item = |at: usize| ServerStats {
         address: address(at),
         log_time: (at % 7) as f64 / 10.0,
         variance: 0.1,
@@ -246,10 +246,10 @@
         calls: 20.0,
         failed: 0.0,
         age_ms: 100.0,
-        out: false,
-        run: Run { incarnation: Some(at as u64), up_ms: Some(1e6) },
+        ejected: false,
+        run: StartReport { incarnation: Some(at as u64), up_ms: Some(1e6) },
     };
-    Digest { teller: "large".to_owned(), level: Some(0.0), items: (0..count).map(item).collect() }
+    Digest { reporter: "large".to_owned(), level: Some(0.0), items: (0..count).map(item).collect() }
 }
 
 /// A pool that was told of all its servers, and how long that took, in us.
@@ -257,7 +257,7 @@
     let mut pool = Pool::new(0.0, Options::default(), &specs(count));
     let start = Instant::now();
     digest.check().expect("a digest in form");
-    pool.inherit(0.0, digest);
+    pool.merge_digest(0.0, digest);
     (pool, start.elapsed().as_secs_f64() * 1e6)
 }
 
@@ -269,7 +269,11 @@
     for n in 0..calls {
         let now = f64::from(n);
         let choice = pool.choose(now, 100.0, true, &[], &mut rng).expect("room");
-        pool.ended(now, &choice, &Ended { kind: Kind::Served, took_ms: 80.0 + f64::from(n % 50), run: None });
+        pool.finish_call(
+            now,
+            &choice,
+            &CallEnd { kind: CallEndKind::Served, took_ms: 80.0 + f64::from(n % 50), run: None },
+        );
     }
     start.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
 }
--- a/benches/verdicts/world.rs
+++ b/benches/verdicts/world.rs
@@ -18,8 +18,8 @@
 use sillflow::ejection::holding::{Holding, Terms, Vote};
 use sillflow::ejection::keeper::Trial;
 use sillflow::ejection::list::{Guard, Share, Stage, Why};
-use sillflow::route::{Choice, Ended, Kind, Options, Pool, Spec, Standing};
-use sillflow::server_stats::Run;
+use sillflow::route::{CallEnd, CallEndKind, Choice, Options, Pool, ServerState, Spec};
+use sillflow::server_stats::StartReport;
 
 pub const ZONES: usize = 5;
 /// Mean work of a call, and the time past which it is worth nothing, in ms.
@@ -326,7 +326,11 @@
                 return Some((server, choice));
             }
             if let (Some(pool), Some(choice)) = (&mut node.pool, &choice) {
-                pool.ended(now, choice, &Ended { kind: Kind::Unsent, took_ms: 0.0, run: None });
+                pool.finish_call(
+                    now,
+                    choice,
+                    &CallEnd { kind: CallEndKind::NotSent, took_ms: 0.0, run: None },
+                );
                 tried.push(choice.id);
             }
         }
@@ -357,12 +361,13 @@
             }
             if let (Some(pool), Some(choice)) = (&mut node.pool, &end.choice) {
                 let kind = match (end.failed, refused) {
-                    (true, true) => Kind::Refused,
-                    (true, false) => Kind::Failed,
-                    _ => Kind::Served,
+                    (true, true) => CallEndKind::ConnectionRefused,
+                    (true, false) => CallEndKind::Failed,
+                    _ => CallEndKind::Served,
                 };
-                let run = life.map(|life| Run { incarnation: Some(life.incarnation), up_ms: Some(up) });
-                pool.ended(now, choice, &Ended { kind, took_ms: end.took_ms, run });
+                let run =
+                    life.map(|life| StartReport { incarnation: Some(life.incarnation), up_ms: Some(up) });
+                pool.finish_call(now, choice, &CallEnd { kind, took_ms: end.took_ms, run });
             }
         }
     }
@@ -384,12 +389,15 @@
     fn watch(&mut self, now: f64, watched: SocketAddr) {
         for (at, node) in self.nodes.iter().enumerate() {
             let Some(pool) = node.pool.as_ref().filter(|_| self.seen.alone[at].is_none()) else { continue };
-            let belief = pool.beliefs(now).into_iter().find(|one| one.spec.address == watched);
+            let belief = pool.estimates(now).into_iter().find(|one| one.spec.address == watched);
             let Some(belief) = belief else { continue };
-            if belief.standing != Standing::In {
+            if belief.state != ServerState::Active {
                 self.seen.alone[at] = Some(now);
             }
-            if belief.standing != Standing::In || belief.times >= 2.0 || belief.failing >= 0.3 {
+            if belief.state != ServerState::Active
+                || belief.relative_time >= 2.0
+                || belief.failure_rate >= 0.3
+            {
                 self.seen.shuns[at].get_or_insert(now);
             }
         }
@@ -432,7 +440,7 @@
             if node.asked != asked {
                 node.asked = asked.to_vec();
                 let shares: BTreeMap<_, _> = asked.iter().map(|server| (*server, Share::Asked)).collect();
-                node.pool.iter_mut().for_each(|pool| pool.follow(now, shares.clone()));
+                node.pool.iter_mut().for_each(|pool| pool.set_fleet_shares(now, shares.clone()));
             }
             if node.guard.seen() != list.number {
                 node.guard.accept(now, &list).expect("the latest list");
--- a/src/back/records/http.rs
+++ b/src/back/records/http.rs
@@ -12,7 +12,7 @@
 use winnow::{ModalResult, Parser, Partial};
 
 use crate::net::connect::Stream;
-use crate::server_stats::Run;
+use crate::server_stats::StartReport;
 
 /// Bytes of all heads of a reply, and of its body, that are read at the most.
 const HEAD_BYTES: usize = 16 * 1024;
@@ -63,7 +63,7 @@
     pub reusable: bool,
     pub body: Bytes,
     /// What the server says of its start, where it does.
-    pub run: Option<Run>,
+    pub run: Option<StartReport>,
 }
 
 fn header<'a>(input: &mut Partial<&'a [u8]>) -> ModalResult<(&'a [u8], &'a [u8])> {
@@ -170,7 +170,7 @@
     // What lies behind the reply belongs to no call: the connection is of no further use.
     let reusable = !head.close && head.length != Length::ToEnd && buffer.is_empty();
     let run = (head.incarnation.is_some() || head.up_ms.is_some())
-        .then(|| Run { incarnation: head.incarnation, up_ms: head.up_ms.map(f64::from) });
+        .then(|| StartReport { incarnation: head.incarnation, up_ms: head.up_ms.map(f64::from) });
     Ok(Reply { status: head.status, not_begun: head.not_begun, reusable, body, run })
 }
 
--- a/src/back/records/mod.rs
+++ b/src/back/records/mod.rs
@@ -31,9 +31,9 @@
 use crate::net::errors::{Cause, Failure};
 use crate::net::stream::uninterrupted;
 use crate::peers::{Leg, Routes};
-use crate::route::{Kind, RetryBudget, ServerId};
+use crate::route::{CallEndKind, RetryBudget, ServerId};
 use crate::route_exchange::course::{Next, Tried};
-use crate::server_stats::Run;
+use crate::server_stats::StartReport;
 
 /// An idle connection is closed after this: sooner than the other side does it, so that no call meets the end.
 const IDLE: Duration = Duration::from_secs(8);
@@ -72,31 +72,31 @@
 }
 
 /// What the end of a call tells of the server that it was made to.
-fn kind(outcome: Outcome) -> Kind {
+fn kind(outcome: Outcome) -> CallEndKind {
     match outcome {
-        Outcome::Ok => Kind::Served,
-        Outcome::Full => Kind::TurnedAway,
-        Outcome::ConnectFailed => Kind::Unreachable,
+        Outcome::Ok => CallEndKind::Served,
+        Outcome::Full => CallEndKind::Rejected,
+        Outcome::ConnectFailed => CallEndKind::Unreachable,
         // The run that waited for it is gone: that is no fault of the server's.
-        Outcome::Moot => Kind::Withdrawn,
-        _ => Kind::Failed,
+        Outcome::Moot => CallEndKind::Abandoned,
+        _ => CallEndKind::Failed,
     }
 }
 
 /// What a connection that was not made tells of the server. What this machine lacks is no fault of the server's.
-fn unconnected(cause: Cause) -> Kind {
+fn unconnected(cause: Cause) -> CallEndKind {
     match cause {
-        Cause::Refused => Kind::Refused,
-        cause if cause.tells_of_peer() => Kind::Unreachable,
-        _ => Kind::Unsent,
+        Cause::Refused => CallEndKind::ConnectionRefused,
+        cause if cause.tells_of_peer() => CallEndKind::Unreachable,
+        _ => CallEndKind::NotSent,
     }
 }
 
 /// How an attempt at a call ended.
 struct Attempt {
     outcome: Outcome,
-    kind: Kind,
-    run: Option<Run>,
+    kind: CallEndKind,
+    run: Option<StartReport>,
     reply: Bytes,
 }
 
@@ -231,7 +231,7 @@
     /// Makes the calls that come.
     pub async fn serve(self, mut calls: mpsc::UnboundedReceiver<Call>) {
         while let Some(call) = calls.recv().await {
-            self.repeats.borrow_mut().called();
+            self.repeats.borrow_mut().record_call();
             self.place(Timed::new(call));
         }
     }
@@ -327,7 +327,7 @@
                         debug!("the tier below cannot be reached: {problem}");
                         unconnected(problem.cause())
                     }
-                    _ => Kind::Unsent,
+                    _ => CallEndKind::NotSent,
                 };
                 return self.ended(call, attempt).await;
             }
@@ -520,7 +520,7 @@
                 return Heard::Reply(reply);
             }
             self.usual.borrow_mut().lost();
-            if self.repeats.borrow_mut().take() {
+            if self.repeats.borrow_mut().try_take() {
                 return Heard::Lost;
             }
         }
@@ -554,7 +554,7 @@
     }
 
     /// Tells what is known of a site how a call to it ended.
-    fn note(&self, call: &Timed, kind: Kind) {
+    fn note(&self, call: &Timed, kind: CallEndKind) {
         if let (Some(sites), Some(journey)) = (&self.sites, &call.journey) {
             sites.ended(journey, kind);
         }
@@ -568,7 +568,7 @@
             return None;
         };
         if let Some(left) = left {
-            left.end(Kind::Failed, None);
+            left.end(CallEndKind::Failed, None);
         }
         Some(address)
     }
--- a/src/back/records/sites.rs
+++ b/src/back/records/sites.rs
@@ -16,7 +16,7 @@
 use crate::exchange::{Call, Catalog};
 use crate::fault_injection::{self, InjectedFault};
 use crate::peers::{Leg, Routes};
-use crate::route::{Kind, Options, ServerId, Spec};
+use crate::route::{CallEndKind, Options, ServerId, Spec};
 use crate::route_exchange::capacity::Given;
 use crate::route_exchange::course::{Asked, Course, Next, Tried};
 use crate::route_exchange::lookup::InForce;
@@ -228,10 +228,10 @@
     }
 
     /// Notes how a call ended at the site where it is.
-    pub(super) fn ended(&self, journey: &Journey, kind: Kind) {
+    pub(super) fn ended(&self, journey: &Journey, kind: CallEndKind) {
         let well = match kind {
-            Kind::Served => true,
-            Kind::Withdrawn | Kind::Unsent => return,
+            CallEndKind::Served => true,
+            CallEndKind::Abandoned | CallEndKind::NotSent => return,
             _ => false,
         };
         let Some(Stop { held, .. }) = &journey.stop else { return };
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -23,7 +23,7 @@
 use thiserror::Error;
 
 use crate::interface::SettingsError;
-use crate::route::PROCESSES_UNKNOWN;
+use crate::route::ASSUMED_PROCESSES;
 use crate::validate::check_settings;
 
 pub use copies::{CopiesTable, Late};
@@ -198,7 +198,7 @@
     /// settings name no number, one that no fleet is expected to have.
     pub fn processes(&self) -> u32 {
         match self.site.settings.servers {
-            0 => PROCESSES_UNKNOWN,
+            0 => ASSUMED_PROCESSES,
             servers => servers,
         }
     }
--- a/src/config/routes.rs
+++ b/src/config/routes.rs
@@ -32,12 +32,12 @@
     pub(super) fn check(&self, faults: &mut Vec<Fault>) {
         let c = &self.choice;
         let figures = [
-            ("cross_zone", c.cross_zone, 1.0, 100.0),
-            ("most_in_hand", c.most_in_hand, 1.0, 1e6),
-            ("most_out", c.most_out, 0.0, 0.9),
+            ("cross_zone", c.cross_zone_factor, 1.0, 100.0),
+            ("most_in_hand", c.max_in_flight, 1.0, 1e6),
+            ("most_out", c.max_ejected_share, 0.0, 0.9),
             ("retry_share", c.retry_share, 0.0, 1.0),
             ("warm_ms", c.warm_ms, 1.0, 3.6e6),
-            ("warm_from", c.warm_from, 0.01, 1.0),
+            ("warm_from", c.cold_speed, 0.01, 1.0),
         ];
         let calls = c.slow_start_calls.map(|calls| ("slow_start_calls", calls, 0.0, 1e6));
         let processes = c.processes.map(|processes| ("processes", f64::from(processes), 1.0, 1e6));
--- a/src/peers/ask.rs
+++ b/src/peers/ask.rs
@@ -64,7 +64,7 @@
     };
     digest.check()?;
     // A node is known by where it was asked: what it calls itself could be another's name.
-    digest.teller = donor.to_string();
+    digest.reporter = donor.to_string();
     Ok(digest)
 }
 
--- a/src/peers/routes.rs
+++ b/src/peers/routes.rs
@@ -17,8 +17,8 @@
 use crate::ejection::keeper::Trial;
 use crate::ejection::list::{Given, Share, Shares};
 use crate::ejection::part::Noted;
-use crate::route::{Choice, Ended, Full, Kind, Pool, ServerId, Spec};
-use crate::server_stats::{Digest, Merged, Run};
+use crate::route::{CallEnd, CallEndKind, Choice, NoFreeServer, Pool, ServerId, Spec};
+use crate::server_stats::{Digest, MergeResult, StartReport};
 
 /// Classes of evidence: calls that may be made a second time, and all others.
 const SAFE: u8 = 0;
@@ -101,7 +101,7 @@
 
     fn follow(&self, shares: Shares) {
         let parts = shares.iter().map(|(server, given)| (*server, given.share)).collect();
-        self.pool.borrow_mut().follow(self.now(), parts);
+        self.pool.borrow_mut().set_fleet_shares(self.now(), parts);
         if let Some(votes) = self.votes.borrow_mut().as_mut() {
             let tried = |server: &SocketAddr, times: u32| {
                 shares.get(server).is_some_and(|given| given.share == Share::Trial && given.times == times)
@@ -119,10 +119,10 @@
     }
 
     /// Notes what the end of a call shows of its server, where it shows anything.
-    fn note(&self, choice: &Choice, class: u8, ended: &Ended) {
+    fn note(&self, choice: &Choice, class: u8, ended: &CallEnd) {
         let failed = match ended.kind {
-            Kind::Withdrawn | Kind::Unsent => return,
-            kind => kind != Kind::Served,
+            CallEndKind::Abandoned | CallEndKind::NotSent => return,
+            kind => kind != CallEndKind::Served,
         };
         let life = ended.run.and_then(|run| {
             let up_ms = run.up_ms?.clamp(0.0, f64::from(u32::MAX)) as u32;
@@ -144,7 +144,7 @@
     ///
     /// # Errors
     /// No server has room.
-    pub fn choose(self: &Rc<Self>, work: f64, safe: bool, tried: &[ServerId]) -> Result<Leg, Full> {
+    pub fn choose(self: &Rc<Self>, work: f64, safe: bool, tried: &[ServerId]) -> Result<Leg, NoFreeServer> {
         let mut rng = self.rng.borrow_mut();
         let choice = self.pool.borrow_mut().choose(self.now(), work, safe, tried, &mut *rng)?;
         let class = if safe { SAFE } else { UNSAFE };
@@ -153,12 +153,12 @@
 
     /// Whether a further attempt is within the budget, which it then counts to.
     pub fn may_retry(&self) -> bool {
-        self.pool.borrow_mut().may_retry()
+        self.pool.borrow_mut().try_take_retry()
     }
 
     /// Whether a server at this address is in force.
     pub fn has(&self, address: SocketAddr) -> bool {
-        self.pool.borrow().has(address)
+        self.pool.borrow().contains(address)
     }
 
     /// How many servers there are.
@@ -168,12 +168,12 @@
 
     /// Puts other servers in force.
     pub fn replace(&self, servers: &[Spec]) {
-        self.pool.borrow_mut().replace(self.now(), servers);
+        self.pool.borrow_mut().replace_servers(self.now(), servers);
     }
 
     /// Shares slow starts among so many processes from here on.
     pub fn share_among(&self, processes: u32) {
-        self.pool.borrow_mut().share_among(processes);
+        self.pool.borrow_mut().set_process_count(processes);
     }
 
     /// What was measured here.
@@ -182,15 +182,15 @@
     }
 
     /// Takes in what another node has measured.
-    pub fn inherit(&self, digest: &Digest) -> Merged {
-        self.pool.borrow_mut().inherit(self.now(), digest)
+    pub fn inherit(&self, digest: &Digest) -> MergeResult {
+        self.pool.borrow_mut().merge_digest(self.now(), digest)
     }
 
     /// What is believed, and from whom.
     pub fn beliefs(&self, node: &str) -> Beliefs {
         let pool = self.pool.borrow();
-        let tellers = pool.tellers().map(|(name, trust)| (name.to_owned(), trust)).collect();
-        Beliefs { node: node.to_owned(), servers: pool.beliefs(self.now()), tellers }
+        let tellers = pool.reporters().map(|(name, trust)| (name.to_owned(), trust)).collect();
+        Beliefs { node: node.to_owned(), servers: pool.estimates(self.now()), tellers }
     }
 }
 
@@ -229,14 +229,14 @@
     }
 
     /// Tells how the call ended there, and what the server said of its start.
-    pub fn end(mut self, kind: Kind, run: Option<Run>) {
+    pub fn end(mut self, kind: CallEndKind, run: Option<StartReport>) {
         self.settle(kind, run);
     }
 
-    fn settle(&mut self, kind: Kind, run: Option<Run>) {
+    fn settle(&mut self, kind: CallEndKind, run: Option<StartReport>) {
         if !std::mem::replace(&mut self.settled, true) {
-            let ended = Ended { kind, took_ms: self.sent.map_or(0.0, ms), run };
-            self.routes.pool.borrow_mut().ended(self.routes.now(), &self.choice, &ended);
+            let ended = CallEnd { kind, took_ms: self.sent.map_or(0.0, ms), run };
+            self.routes.pool.borrow_mut().finish_call(self.routes.now(), &self.choice, &ended);
             self.routes.note(&self.choice, self.class, &ended);
         }
     }
@@ -244,7 +244,7 @@
 
 impl Drop for Leg {
     fn drop(&mut self) {
-        let kind = if self.sent.is_some() { Kind::Withdrawn } else { Kind::Unsent };
+        let kind = if self.sent.is_some() { CallEndKind::Abandoned } else { CallEndKind::NotSent };
         self.settle(kind, None);
     }
 }
--- a/src/peers/wire.rs
+++ b/src/peers/wire.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::route::Belief;
+use crate::route::ServerEstimate;
 use crate::server_stats::Digest;
 
 /// The version of what is said here. Another one is turned down with this number.
@@ -35,7 +35,7 @@
     /// Its name.
     pub node: String,
     /// Server by server.
-    pub servers: Vec<Belief>,
+    pub servers: Vec<ServerEstimate>,
     /// How far it believes each node that told it something, from 0 to 1.
     pub tellers: Vec<(String, f64)>,
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -5,27 +5,27 @@
 use sillflow::fleet::wire::Report;
 use sillflow::peers::wire::Beliefs;
 use sillflow::replication::report::Report as Copies;
-use sillflow::route::{Belief, Standing};
+use sillflow::route::{ServerEstimate, ServerState};
 use sillflow::store::{MemberView, Status};
 
 fn seconds(ms: Option<f64>) -> String {
     ms.map_or_else(|| "-".to_owned(), |ms| format!("{:.1}", ms / 1000.0))
 }
 
-fn standing(belief: &Belief) -> String {
-    match belief.standing {
-        Standing::In => "in".to_owned(),
-        Standing::Out { times, .. } => format!("out {times}"),
-        Standing::Trial { left, .. } => format!("trial {left}"),
+fn standing(belief: &ServerEstimate) -> String {
+    match belief.state {
+        ServerState::Active => "in".to_owned(),
+        ServerState::Ejected { times, .. } => format!("out {times}"),
+        ServerState::Trial { left, .. } => format!("trial {left}"),
     }
 }
 
-fn heard(belief: &Belief) -> String {
-    let say = |heard: &sillflow::server_stats::Heard| {
+fn heard(belief: &ServerEstimate) -> String {
+    let say = |heard: &sillflow::server_stats::ReportedEstimate| {
         let age = seconds(Some(heard.age_ms));
-        format!("{} {:.2}x, weight {:.1}, {age} s ago", heard.teller, heard.log_time.exp(), heard.weight)
+        format!("{} {:.2}x, weight {:.1}, {age} s ago", heard.reporter, heard.log_time.exp(), heard.weight)
     };
-    belief.heard.iter().map(say).collect::<Vec<_>>().join("; ")
+    belief.reports.iter().map(say).collect::<Vec<_>>().join("; ")
 }
 
 /// What a node believes of each server, and of those who told it something.
@@ -50,9 +50,9 @@
             belief.spec.zone.clone(),
             belief.spec.weight.to_string(),
             standing(belief),
-            belief.in_hand.to_string(),
-            format!("{:.2}x", belief.times),
-            format!("{:.0}%", belief.failing * 100.0),
+            belief.in_flight.to_string(),
+            format!("{:.2}x", belief.relative_time),
+            format!("{:.0}%", belief.failure_rate * 100.0),
             format!("{:.1}", belief.samples),
             seconds(belief.age_ms),
             seconds(belief.up_ms),
--- a/src/route/budget.rs
+++ b/src/route/budget.rs
@@ -18,12 +18,12 @@
     }
 
     /// Counts a call.
-    pub fn called(&mut self) {
+    pub fn record_call(&mut self) {
         self.tokens = (self.tokens + self.share).min(MOST);
     }
 
     /// Takes a further attempt out of it; false where it is spent.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let may = self.tokens >= 1.0;
         if may {
             self.tokens -= 1.0;
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -14,6 +14,6 @@
 mod slow_start;
 
 pub use budget::RetryBudget;
-pub use pool::{Belief, Choice, Ended, Full, Kind, Options, Pool};
-pub use server::{ServerId, Spec, Standing};
-pub use slow_start::{PROCESSES_UNKNOWN, bound as slow_start_bound};
+pub use pool::{CallEnd, CallEndKind, Choice, NoFreeServer, Options, Pool, ServerEstimate};
+pub use server::{ServerId, ServerState, Spec};
+pub use slow_start::{ASSUMED_PROCESSES, bound as slow_start_bound};
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -12,11 +12,12 @@
 use super::choice::Eligible;
 use super::estimate::Rate;
 use super::outlier::{Measured, median, outliers};
-use super::server::{Server, ServerId, Spec, Standing, Start, TRIALS};
+use super::server::{Server, ServerId, ServerState, Spec, Start, TRIALS};
 use super::slow_start::{self, Terms};
 use crate::ejection::list::Share;
 use crate::server_stats::{
-    Digest, Heard, Inherited, Item, MOST_AGE_MS, MOST_LOG, Merged, Prior, Run, Sample,
+    Digest, Inherited, MOST_AGE_MS, MOST_LOG, MergeResult, Prior, ReportedEstimate, Sample, ServerStats,
+    StartReport,
 };
 
 /// Time between looks at the whole pool, and the least time before one that failures in a row call for, in ms.
@@ -67,19 +68,23 @@
     /// The zone of this node; empty where there are none.
     pub zone: String,
     /// How many times as long a server of another zone is taken to need.
-    pub cross_zone: f64,
+    #[serde(rename = "cross_zone")]
+    pub cross_zone_factor: f64,
     /// Calls in hand at a server of weight 1 at the most.
-    pub most_in_hand: f64,
+    #[serde(rename = "most_in_hand")]
+    pub max_in_flight: f64,
     /// The part of the servers that may be out at once.
-    pub most_out: f64,
+    #[serde(rename = "most_out")]
+    pub max_ejected_share: f64,
     /// Further attempts beside calls.
     pub retry_share: f64,
     /// Time in which a server that has started becomes warm, in ms, and the part of its speed that it has at first.
     pub warm_ms: f64,
     /// See `warm_ms`.
-    pub warm_from: f64,
+    #[serde(rename = "warm_from")]
+    pub cold_speed: f64,
     /// Calls that all processes together may make to a server of weight 1 in `warm_ms` from its start, in sum. Where
-    /// they are named they are kept to whatever happens; else they are `most_in_hand`, and are gone beyond where every
+    /// they are named they are kept to whatever happens; else they are `max_in_flight`, and are gone beyond where every
     /// server is in slow start. See `route::slow_start`.
     pub slow_start_calls: Option<f64>,
     /// Processes that call these servers. Where it is not set, a node takes it for the nodes of its tier that the
@@ -91,12 +96,12 @@
     fn default() -> Self {
         Self {
             zone: String::new(),
-            cross_zone: 1.25,
-            most_in_hand: 64.0,
-            most_out: 0.3,
+            cross_zone_factor: 1.25,
+            max_in_flight: 64.0,
+            max_ejected_share: 0.3,
             retry_share: 0.1,
             warm_ms: 15_000.0,
-            warm_from: 0.25,
+            cold_speed: 0.25,
             slow_start_calls: None,
             processes: None,
         }
@@ -124,51 +129,55 @@
 
 /// No server has room: each has as many calls in hand as it may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Full;
+pub struct NoFreeServer;
 
 /// How a call to a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum CallEndKind {
     /// Well.
     Served,
     /// Badly, or not in its time.
     Failed,
     /// The server turned it away unrun.
-    TurnedAway,
+    Rejected,
     /// Its address takes no connection: no process is there.
-    Refused,
+    ConnectionRefused,
     /// It could not be reached otherwise.
     Unreachable,
     /// It was given up, which tells of the server only that it took this long already.
-    Withdrawn,
+    Abandoned,
     /// It never got as far as the server, for no fault of that one.
-    Unsent,
+    NotSent,
 }
 
 /// The end of a call.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct CallEnd {
     /// How it ended.
-    pub kind: Kind,
+    pub kind: CallEndKind,
     /// How long it took, in ms.
     pub took_ms: f64,
     /// What the server said of its start.
-    pub run: Option<Run>,
+    pub run: Option<StartReport>,
 }
 
 /// What is believed of a server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Belief {
+pub struct ServerEstimate {
     /// As the operator names it.
     pub spec: Spec,
     /// Whether calls go there.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: ServerState,
     /// Calls in hand.
-    pub in_hand: u32,
+    #[serde(rename = "in_hand")]
+    pub in_flight: u32,
     /// Time beside the pool's, as a factor, and the part of calls that fail, own samples and others' words together.
-    pub times: f64,
+    #[serde(rename = "times")]
+    pub relative_time: f64,
     /// See `times`.
-    pub failing: f64,
+    #[serde(rename = "failing")]
+    pub failure_rate: f64,
     /// Own samples.
     pub samples: f64,
     /// Time since the newest own one, in ms.
@@ -176,7 +185,8 @@
     /// Time since its start, in ms, where that is known.
     pub up_ms: Option<f64>,
     /// What others say.
-    pub heard: Vec<Heard>,
+    #[serde(rename = "heard")]
+    pub reports: Vec<ReportedEstimate>,
 }
 
 /// The servers of one dependency.
@@ -207,7 +217,7 @@
 
 /// What a process's share in the slow start of a server of this weight goes by; none where it is not bounded.
 fn terms(options: &Options, weight: f64) -> Option<Terms> {
-    let calls = options.slow_start_calls.unwrap_or(options.most_in_hand) * weight;
+    let calls = options.slow_start_calls.unwrap_or(options.max_in_flight) * weight;
     options.processes.map(|processes| Terms::new(calls, processes, options.warm_ms))
 }
 
@@ -232,14 +242,14 @@
             down: Vec::new(),
             turn: 0,
         };
-        pool.replace(now, specs);
+        pool.replace_servers(now, specs);
         pool.begun = true;
         pool
     }
 
     /// Puts other servers in force. What is known of one that stays is kept; calls in hand at one that goes end as
     /// they do.
-    pub fn replace(&mut self, now: f64, specs: &[Spec]) {
+    pub fn replace_servers(&mut self, now: f64, specs: &[Spec]) {
         let wanted: HashSet<SocketAddr> = specs.iter().map(|spec| spec.address).collect();
         let gone: Vec<ServerId> = self
             .by_address
@@ -269,12 +279,12 @@
     }
 
     /// Shares slow starts among so many processes from here on.
-    pub fn share_among(&mut self, processes: u32) {
+    pub fn set_process_count(&mut self, processes: u32) {
         self.options.processes = Some(processes);
     }
 
     /// Follows what the fleet gives these servers; all others get their whole share. Calls in hand end as they do.
-    pub fn follow(&mut self, now: f64, shares: BTreeMap<SocketAddr, Share>) {
+    pub fn set_fleet_shares(&mut self, now: f64, shares: BTreeMap<SocketAddr, Share>) {
         self.shares = shares;
         self.review(now);
     }
@@ -301,12 +311,12 @@
     }
 
     /// Whether a server at this address is in the pool.
-    pub fn has(&self, address: SocketAddr) -> bool {
+    pub fn contains(&self, address: SocketAddr) -> bool {
         self.by_address.contains_key(&address)
     }
 
     /// Calls in hand at all servers.
-    pub fn in_hand(&self) -> u64 {
+    pub fn in_flight(&self) -> u64 {
         self.in_hand
     }
 
@@ -322,7 +332,7 @@
         safe: bool,
         tried: &[ServerId],
         rng: &mut impl Rng,
-    ) -> Result<Choice, Full> {
+    ) -> Result<Choice, NoFreeServer> {
         if now - self.reviewed >= REVIEW_MS {
             self.review(now);
         }
@@ -338,9 +348,9 @@
         let looked = looked.or_else(|| self.on_trial(now, safe, tried, rng)).or(look);
         let drawn = looked.or_else(|| self.drawn(now, work, part, tried, rng));
         let id = drawn.or_else(|| self.any(now, work, part, tried));
-        let id = id.ok_or(Full)?;
+        let id = id.ok_or(NoFreeServer)?;
         let slowed = self.slowed(id, now);
-        let server = self.servers.get_mut(id).ok_or(Full)?;
+        let server = self.servers.get_mut(id).ok_or(NoFreeServer)?;
         if let Some(share) = &mut server.slow_start
             && let Some(terms) = terms(&self.options, server.spec.weight)
         {
@@ -349,14 +359,14 @@
         server.in_hand += 1;
         self.in_hand += 1;
         if tried.is_empty() {
-            self.budget.called();
+            self.budget.record_call();
         }
         Ok(Choice { id, address: server.spec.address, work, slowed })
     }
 
     /// Whether a further attempt is within the budget, which it then counts to.
-    pub fn may_retry(&mut self) -> bool {
-        self.budget.take()
+    pub fn try_take_retry(&mut self) -> bool {
+        self.budget.try_take()
     }
 
     /// A server that refused the last connection, one call at a time and within this process's share: a refused connection
@@ -386,7 +396,7 @@
                 let waits = || server.measured().is_none_or(|measured| now - measured >= TRIAL_WAITS_MS);
                 server.in_hand == 0 && (safe || waits())
             }
-            (_, Standing::Trial { since, .. }) => {
+            (_, ServerState::Trial { since, .. }) => {
                 server.in_hand == 0 && (safe || now - since >= TRIAL_WAITS_MS)
             }
             _ => false,
@@ -481,7 +491,7 @@
     }
 
     fn has_places(&self, server: &Server) -> bool {
-        f64::from(server.in_hand) < (self.options.most_in_hand * server.spec.weight).max(1.0)
+        f64::from(server.in_hand) < (self.options.max_in_flight * server.spec.weight).max(1.0)
     }
 
     /// This process's share in a server's slow start, where that is bounded.
@@ -549,7 +559,7 @@
         let started = server.start.at.or_else(|| self.inherited.start_of(id));
         let warm = started.map_or(1.0, |started| {
             let share = ((now - started) / self.options.warm_ms).clamp(0.0, 1.0);
-            self.options.warm_from + (1.0 - self.options.warm_from) * share
+            self.options.cold_speed + (1.0 - self.options.cold_speed) * share
         });
         (1.0 + server.load() / CROWD).ln() - warm.ln()
     }
@@ -560,13 +570,13 @@
         let prior = self.prior(id, server, now);
         let relative = self.relative(server, &prior, now);
         let usual = self.level.unwrap_or(0.0).exp() * work;
-        let far = if server.spec.zone == self.options.zone { 1.0 } else { self.options.cross_zone };
+        let far = if server.spec.zone == self.options.zone { 1.0 } else { self.options.cross_zone_factor };
         let finish = usual * (relative + self.slowed(id, now)).exp() * far;
         finish + self.failing(server, &prior, now) * FAILURE_COST * usual
     }
 
     /// Gives a server back, and learns from how the call ended.
-    pub fn ended(&mut self, now: f64, choice: &Choice, ended: &Ended) {
+    pub fn finish_call(&mut self, now: f64, choice: &Choice, ended: &CallEnd) {
         let Some(server) = self.servers.get_mut(choice.id) else { return };
         server.in_hand = server.in_hand.saturating_sub(1);
         self.in_hand = self.in_hand.saturating_sub(1);
@@ -574,8 +584,8 @@
         self.follow_start(choice.id, now);
         let log_time = self.sample(now, choice, ended);
         let failed = match ended.kind {
-            Kind::Served => Some(false),
-            Kind::Withdrawn | Kind::Unsent => None,
+            CallEndKind::Served => Some(false),
+            CallEndKind::Abandoned | CallEndKind::NotSent => None,
             _ => Some(true),
         };
         let failing = self.usual_failing(now);
@@ -593,12 +603,15 @@
 
     /// Takes the time of a call as a sample; its log time beside the pool's. Of one that was not served it is known
     /// only that it would have taken longer.
-    fn sample(&mut self, now: f64, choice: &Choice, ended: &Ended) -> Option<f64> {
+    fn sample(&mut self, now: f64, choice: &Choice, ended: &CallEnd) -> Option<f64> {
         let raw = (ended.took_ms.max(LEAST) / choice.work).ln() - choice.slowed;
         let served = match ended.kind {
-            Kind::Served => true,
-            Kind::Failed | Kind::Withdrawn => false,
-            Kind::TurnedAway | Kind::Refused | Kind::Unreachable | Kind::Unsent => return None,
+            CallEndKind::Served => true,
+            CallEndKind::Failed | CallEndKind::Abandoned => false,
+            CallEndKind::Rejected
+            | CallEndKind::ConnectionRefused
+            | CallEndKind::Unreachable
+            | CallEndKind::NotSent => return None,
         };
         let server = self.servers.get(choice.id)?;
         let expected = self.relative(server, &self.prior(choice.id, server, now), now);
@@ -619,17 +632,17 @@
     }
 
     /// Notes what the end of a call tells of the server's start. What was known of another start is forgotten.
-    fn note_start(&mut self, now: f64, id: ServerId, ended: &Ended) {
+    fn note_start(&mut self, now: f64, id: ServerId, ended: &CallEnd) {
         let Some(server) = self.servers.get_mut(id) else { return };
         match ended.kind {
-            Kind::Refused => {
+            CallEndKind::ConnectionRefused => {
                 server.refused_at = Some(now);
                 return;
             }
-            Kind::Unreachable | Kind::Withdrawn | Kind::Unsent => return,
+            CallEndKind::Unreachable | CallEndKind::Abandoned | CallEndKind::NotSent => return,
             _ => {}
         }
-        let run = ended.run.unwrap_or(Run { incarnation: None, up_ms: None });
+        let run = ended.run.unwrap_or(StartReport { incarnation: None, up_ms: None });
         let told = Start { incarnation: run.incarnation, at: run.up_ms.map(|up| now - up) };
         let refused = server.refused_at;
         let another = server.is_another(told);
@@ -656,10 +669,10 @@
         self.reviewed = now;
         self.recentre(now);
         for server in self.servers.values_mut() {
-            if let Standing::Out { until, times } = server.standing
+            if let ServerState::Ejected { until, times } = server.standing
                 && until <= now
             {
-                server.standing = Standing::Trial { left: TRIALS, times, since: now };
+                server.standing = ServerState::Trial { left: TRIALS, times, since: now };
             }
         }
         self.take_shares();
@@ -675,10 +688,10 @@
             match server.standing {
                 _ if server.share == Share::Trial => eligible.trial.push(id),
                 _ if server.is_removed() => continue,
-                Standing::Out { .. } => continue,
-                Standing::Trial { .. } => eligible.trial.push(id),
-                Standing::In if server.spec.zone == *zone => eligible.near.push(id),
-                Standing::In => eligible.far.push(id),
+                ServerState::Ejected { .. } => continue,
+                ServerState::Trial { .. } => eligible.trial.push(id),
+                ServerState::Active if server.spec.zone == *zone => eligible.near.push(id),
+                ServerState::Active => eligible.far.push(id),
             }
             eligible.most_weight = eligible.most_weight.max(server.spec.weight);
         }
@@ -690,7 +703,7 @@
         if room == 0 {
             return;
         }
-        let here = |server: &Server| server.standing == Standing::In && !server.is_removed();
+        let here = |server: &Server| server.standing == ServerState::Active && !server.is_removed();
         let measured = self.servers.iter().filter(|(_, server)| here(server)).map(|(id, server)| {
             let (failed, calls) = server.judged.failures.counts(now);
             let variance = server.judged.times.variance().unwrap_or(USUAL_VARIANCE);
@@ -726,12 +739,12 @@
     }
 
     /// All that was measured here, and nothing that was only heard.
-    pub fn digest(&self, now: f64, teller: &str) -> Digest {
+    pub fn digest(&self, now: f64, reporter: &str) -> Digest {
         let item = |server: &Server| {
             // As of then: its age is told beside it.
             let known_at = server.measured()?;
             let (failed, calls) = server.known.failures.counts(known_at);
-            Some(Item {
+            Some(ServerStats {
                 address: server.spec.address,
                 log_time: server.known.times.mean().clamp(-MOST_LOG, MOST_LOG),
                 variance: server.known.times.variance().unwrap_or(USUAL_VARIANCE).min(MOST_LOG * MOST_LOG),
@@ -739,26 +752,26 @@
                 calls,
                 failed,
                 age_ms: (now - known_at).clamp(0.0, MOST_AGE_MS),
-                out: server.standing != Standing::In,
-                run: Run {
+                ejected: server.standing != ServerState::Active,
+                run: StartReport {
                     incarnation: server.start.incarnation,
                     up_ms: server.start.at.map(|at| (now - at).clamp(0.0, MOST_AGE_MS)),
                 },
             })
         };
         let items = self.servers.values().filter_map(item).collect();
-        Digest { teller: teller.to_owned(), level: self.level, items }
+        Digest { reporter: reporter.to_owned(), level: self.level, items }
     }
 
     /// Takes in what another node has measured. It counts as prior evidence beside own samples.
-    pub fn inherit(&mut self, now: f64, digest: &Digest) -> Merged {
+    pub fn merge_digest(&mut self, now: f64, digest: &Digest) -> MergeResult {
         let (by_address, servers) = (&self.by_address, &self.servers);
         let merged = self.inherited.merge(now, digest, |item| {
             let id = *by_address.get(&item.address)?;
             let start = servers.get(id)?.start;
             Some((id, start.incarnation, start.at))
         });
-        if self.level.is_none() && merged.taken > 0 {
+        if self.level.is_none() && merged.accepted > 0 {
             self.level = digest.level;
             self.level_samples = LEVEL_TOLD;
         }
@@ -771,43 +784,43 @@
     fn put_on_trial(&mut self, now: f64) {
         let room = self.room_to_put_out();
         let inherited = &self.inherited;
-        let unknown = |server: &Server| server.standing == Standing::In && server.measured().is_none();
+        let unknown = |server: &Server| server.standing == ServerState::Active && server.measured().is_none();
         let told =
             self.servers.iter_mut().filter(|(id, server)| unknown(server) && inherited.is_out(*id, now));
-        let standing = Standing::Trial { left: TRIALS, times: 0, since: now };
+        let standing = ServerState::Trial { left: TRIALS, times: 0, since: now };
         told.take(room).for_each(|(_, server)| server.standing = standing);
     }
 
     /// How many more servers may be put out; those that the fleet has removed are out as well.
     fn room_to_put_out(&self) -> usize {
-        let away = |server: &&Server| server.standing != Standing::In || server.is_removed();
+        let away = |server: &&Server| server.standing != ServerState::Active || server.is_removed();
         let away = self.servers.values().filter(away).count();
-        ((self.servers.len() as f64 * self.options.most_out) as usize).saturating_sub(away)
+        ((self.servers.len() as f64 * self.options.max_ejected_share) as usize).saturating_sub(away)
     }
 
     /// What is believed of each server, by address.
-    pub fn beliefs(&self, now: f64) -> Vec<Belief> {
+    pub fn estimates(&self, now: f64) -> Vec<ServerEstimate> {
         let belief = |(id, server): (ServerId, &Server)| {
             let prior = self.prior(id, server, now);
-            Belief {
+            ServerEstimate {
                 spec: server.spec.clone(),
-                standing: server.standing,
-                in_hand: server.in_hand,
-                times: self.relative(server, &prior, now).exp(),
-                failing: self.failing(server, &prior, now),
+                state: server.standing,
+                in_flight: server.in_hand,
+                relative_time: self.relative(server, &prior, now).exp(),
+                failure_rate: self.failing(server, &prior, now),
                 samples: server.known.times.weight(now),
                 age_ms: server.measured().map(|newest| now - newest),
                 up_ms: server.start.at.or_else(|| self.inherited.start_of(id)).map(|at| now - at),
-                heard: self.inherited.heard(id, now),
+                reports: self.inherited.heard(id, now),
             }
         };
-        let mut beliefs: Vec<Belief> = self.servers.iter().map(belief).collect();
+        let mut beliefs: Vec<ServerEstimate> = self.servers.iter().map(belief).collect();
         beliefs.sort_by_key(|belief| belief.spec.address);
         beliefs
     }
 
     /// How far each node that told something is believed, from 0 to 1.
-    pub fn tellers(&self) -> impl Iterator<Item = (&str, f64)> {
-        self.inherited.tellers()
+    pub fn reporters(&self) -> impl Iterator<Item = (&str, f64)> {
+        self.inherited.reporters()
     }
 }
--- a/src/route/server.rs
+++ b/src/route/server.rs
@@ -36,11 +36,13 @@
 /// Whether calls go to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum ServerState {
     /// As to any other.
-    In,
+    #[serde(rename = "in")]
+    Active,
     /// None do until this time, in ms; it has been put out so often in a row.
-    Out {
+    #[serde(rename = "out")]
+    Ejected {
         /// When it is tried again.
         until: f64,
         /// Times in a row.
@@ -97,7 +99,7 @@
     pub(super) slow_start: Option<slow_start::Share>,
     /// Failures since the last call that went well.
     pub(super) streak: u32,
-    pub(super) standing: Standing,
+    pub(super) standing: ServerState,
     /// What the fleet gives it of its usual share.
     pub(super) share: Share,
 }
@@ -114,7 +116,7 @@
             listed,
             slow_start: None,
             streak: 0,
-            standing: Standing::In,
+            standing: ServerState::Active,
             share: Share::Part(1.0),
         }
     }
@@ -132,7 +134,7 @@
             Share::Asked => true,
             Share::Trial => false,
         };
-        self.standing == Standing::In && open
+        self.standing == ServerState::Active && open
     }
 
     /// Whether a word of the server on its start is of another one than is known.
@@ -177,22 +179,25 @@
     /// Puts it out, for longer each time in a row.
     pub(super) fn put_out(&mut self, now: f64) {
         let times = match self.standing {
-            Standing::In => 0,
-            Standing::Out { times, .. } | Standing::Trial { times, .. } => times,
+            ServerState::Active => 0,
+            ServerState::Ejected { times, .. } | ServerState::Trial { times, .. } => times,
         };
         let out_ms = (OUT_MS.0 * f64::from(times.min(16)).exp2()).min(OUT_MS.1);
-        self.standing = Standing::Out { until: now + out_ms, times: times + 1 };
+        self.standing = ServerState::Ejected { until: now + out_ms, times: times + 1 };
         self.judged = Record::default();
     }
 
     /// Counts a call of a trial.
     pub(super) fn tried(&mut self, now: f64, good: bool) {
-        let Standing::Trial { left, times, .. } = self.standing else { return };
+        let ServerState::Trial { left, times, .. } = self.standing else { return };
         if !good {
             return self.put_out(now);
         }
-        self.standing =
-            if left > 1 { Standing::Trial { left: left - 1, times, since: now } } else { Standing::In };
+        self.standing = if left > 1 {
+            ServerState::Trial { left: left - 1, times, since: now }
+        } else {
+            ServerState::Active
+        };
     }
 
     /// Calls in hand beside its size.
--- a/src/route/slow_start.rs
+++ b/src/route/slow_start.rs
@@ -17,7 +17,7 @@
 //! nothing is heard of it after a refused connection: it may start at any time, and whoever tries it then must do so
 //! within its share. That makes a server that was down known again more slowly the more processes there are.
 //!
-//! Where nobody says how many processes there are, [`PROCESSES_UNKNOWN`] are assumed. A node whose next process has taken over
+//! Where nobody says how many processes there are, [`ASSUMED_PROCESSES`] are assumed. A node whose next process has taken over
 //! counts as one: the one before makes only the calls of requests that it has read.
 //!
 //! What is not in the bound: calls of a process to a server that has restarted unseen, until the first reply or refused
@@ -28,7 +28,7 @@
 
 /// Processes that are assumed where nobody says how many there are: more than a fleet is expected to have. A smaller one
 /// uses a cold server less than it might, and never more.
-pub const PROCESSES_UNKNOWN: u32 = 1_000;
+pub const ASSUMED_PROCESSES: u32 = 1_000;
 /// Standard deviations between the mean of the sum and its bound: one start in about a million goes over.
 const DEVIATIONS: f64 = 5.0;
 /// The part of the time to warm after which a token that was not used lapses.
--- a/src/server_stats/digest.rs
+++ b/src/server_stats/digest.rs
@@ -20,7 +20,7 @@
 /// One start of a server's process, as the server itself tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Run {
+pub struct StartReport {
     /// A word that changes with each start; absent where the server tells none.
     pub incarnation: Option<u64>,
     /// How long ago it started, in ms; absent where nobody has seen that.
@@ -30,7 +30,7 @@
 /// What the teller has measured of one server.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Item {
+pub struct ServerStats {
     /// The server.
     pub address: SocketAddr,
     /// Natural logarithm of its time for a unit of work over that of the teller's pool as a whole.
@@ -46,9 +46,10 @@
     /// Time since the newest sample when this was told, in ms of the teller's clock.
     pub age_ms: f64,
     /// Whether the teller has put it out, as it stands out for the worse.
-    pub out: bool,
+    #[serde(rename = "out")]
+    pub ejected: bool,
     /// The start of the server that was measured.
-    pub run: Run,
+    pub run: StartReport,
 }
 
 /// All that a teller has measured itself.
@@ -56,11 +57,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Digest {
     /// The teller's name.
-    pub teller: String,
+    #[serde(rename = "teller")]
+    pub reporter: String,
     /// Natural logarithm of the pool's time for a unit of work, in ms; absent before the first sample.
     pub level: Option<f64>,
     /// Server by server.
-    pub items: Vec<Item>,
+    pub items: Vec<ServerStats>,
 }
 
 /// Why nothing of a digest is believed.
@@ -100,8 +102,8 @@
         if self.items.len() > MOST_ITEMS {
             return Err(DigestError::Long(self.items.len()));
         }
-        if self.teller.is_empty() || self.teller.len() > MOST_NAME {
-            return Err(DigestError::Name(self.teller.len()));
+        if self.reporter.is_empty() || self.reporter.len() > MOST_NAME {
+            return Err(DigestError::Name(self.reporter.len()));
         }
         if let Some(level) = self.level.filter(|level| !(-20.0..=20.0).contains(level)) {
             return Err(DigestError::Level(level));
@@ -117,7 +119,7 @@
     }
 }
 
-impl Item {
+impl ServerStats {
     fn check(&self) -> Result<(), DigestError> {
         let figures = [
             ("log_time", self.log_time, -MOST_LOG, MOST_LOG),
--- a/src/server_stats/inherited.rs
+++ b/src/server_stats/inherited.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use slotmap::{Key, SecondaryMap};
 
-use super::digest::{Digest, Item};
+use super::digest::{Digest, ServerStats};
 use super::trust::{CONTRADICTED, Trust, of_failure, of_time};
 
 /// Tellers that are remembered at the most; the one heard of first leaves for a newcomer.
@@ -78,9 +78,9 @@
 
 /// What came of a digest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
+pub struct MergeResult {
     /// Servers on which something was taken in.
-    pub taken: usize,
+    pub accepted: usize,
     /// Servers that are in no pool here.
     pub unknown: usize,
     /// Claims that were too old, or from before a start of the server that is known here.
@@ -89,9 +89,10 @@
 
 /// One teller's word on a server, for those who look.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct ReportedEstimate {
     /// Who says it.
-    pub teller: String,
+    #[serde(rename = "teller")]
+    pub reporter: String,
     /// How far it is believed, from 0 to 1.
     pub trust: f64,
     /// Relative log time.
@@ -114,14 +115,14 @@
 }
 
 impl Claim {
-    fn new(now: f64, item: &Item, middle: f64) -> Self {
+    fn new(now: f64, item: &ServerStats, middle: f64) -> Self {
         Self {
             mean: item.log_time - middle,
             variance: item.variance.clamp(VARIANCE.0, VARIANCE.1) + DRIFT,
             samples: item.samples,
             failed: item.failed,
             calls: item.calls,
-            out: item.out,
+            out: item.ejected,
             measured_at: now - item.age_ms,
             incarnation: item.run.incarnation,
             started: item.run.up_ms.map(|up| now - up),
@@ -224,11 +225,11 @@
         &mut self,
         now: f64,
         digest: &Digest,
-        find: impl Fn(&Item) -> Option<(K, Option<u64>, Option<f64>)>,
-    ) -> Merged {
+        find: impl Fn(&ServerStats) -> Option<(K, Option<u64>, Option<f64>)>,
+    ) -> MergeResult {
         let mut times: Vec<f64> = digest.items.iter().map(|item| item.log_time).collect();
         let middle = middle(&mut times);
-        let mut merged = Merged::default();
+        let mut merged = MergeResult::default();
         let mut claims = SecondaryMap::new();
         for item in &digest.items {
             let claim = Claim::new(now, item, middle);
@@ -240,12 +241,12 @@
                     merged.stale += 1;
                 }
                 Some((of, ..)) => {
-                    merged.taken += 1;
+                    merged.accepted += 1;
                     claims.insert(of, claim);
                 }
             }
         }
-        let teller = self.teller(&digest.teller);
+        let teller = self.teller(&digest.reporter);
         teller.claims = claims;
         teller.sum_up();
         merged
@@ -335,10 +336,10 @@
     }
 
     /// Who has said what of a server.
-    pub fn heard(&self, of: K, now: f64) -> Vec<Heard> {
+    pub fn heard(&self, of: K, now: f64) -> Vec<ReportedEstimate> {
         let said = self.tellers.iter().filter_map(|teller| Some((teller, teller.claims.get(of)?)));
-        said.map(|(teller, claim)| Heard {
-            teller: teller.name.clone(),
+        said.map(|(teller, claim)| ReportedEstimate {
+            reporter: teller.name.clone(),
             trust: teller.trust.share(),
             log_time: claim.mean,
             weight: claim.weight(now) * teller.trust.share(),
@@ -348,7 +349,7 @@
     }
 
     /// How far each teller is believed, from 0 to 1.
-    pub fn tellers(&self) -> impl Iterator<Item = (&str, f64)> {
+    pub fn reporters(&self) -> impl Iterator<Item = (&str, f64)> {
         self.tellers.iter().map(|teller| (teller.name.as_str(), teller.trust.share()))
     }
 }
--- a/src/server_stats/mod.rs
+++ b/src/server_stats/mod.rs
@@ -9,6 +9,6 @@
 mod inherited;
 mod trust;
 
-pub use digest::{Digest, DigestError, Item, MOST_AGE_MS, MOST_ITEMS, MOST_LOG, Run};
-pub use inherited::{Claim, Heard, Inherited, Merged, Prior, Sample};
+pub use digest::{Digest, DigestError, MOST_AGE_MS, MOST_ITEMS, MOST_LOG, ServerStats, StartReport};
+pub use inherited::{Claim, Inherited, MergeResult, Prior, ReportedEstimate, Sample};
 pub use trust::{CONTRADICTED, Trust};
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -7,8 +7,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use rstest::rstest;
-use sillflow::route::{Choice, Ended, Full, Kind, Options, PROCESSES_UNKNOWN, Pool, Spec, slow_start_bound};
-use sillflow::server_stats::Run;
+use sillflow::route::{
+    ASSUMED_PROCESSES, CallEnd, CallEndKind, Choice, NoFreeServer, Options, Pool, Spec, slow_start_bound,
+};
+use sillflow::server_stats::StartReport;
 
 /// Time in which a server warms, in ms, and that between two steps of the simulation.
 const WARM_MS: f64 = 4_000.0;
@@ -43,7 +45,7 @@
 
 struct Process {
     pool: Pool,
-    calls: VecDeque<(f64, Choice, Ended)>,
+    calls: VecDeque<(f64, Choice, CallEnd)>,
     /// Whether it knows that the server has started, or may have.
     told: bool,
 }
@@ -58,21 +60,23 @@
     fn end(&mut self, now: f64) {
         while self.calls.front().is_some_and(|(until, ..)| *until <= now) {
             let Some((_, choice, ended)) = self.calls.pop_front() else { return };
-            self.told |= choice.address == at(COLD) && (ended.kind == Kind::Refused || now > UP_MS);
-            self.pool.ended(now, &choice, &ended);
+            self.told |=
+                choice.address == at(COLD) && (ended.kind == CallEndKind::ConnectionRefused || now > UP_MS);
+            self.pool.finish_call(now, &choice, &ended);
         }
     }
 
     /// Makes a call; whether it came to the cold server.
-    fn call(&mut self, now: f64, rng: &mut SmallRng) -> Result<bool, Full> {
+    fn call(&mut self, now: f64, rng: &mut SmallRng) -> Result<bool, NoFreeServer> {
         let choice = self.pool.choose(now, 1.0, true, &[], rng)?;
         let cold = choice.address == at(COLD);
         let refused = cold && (DOWN_MS..UP_MS).contains(&now);
         let up_ms = if cold && now >= UP_MS { now - UP_MS } else { 1e6 + now };
         let incarnation = Some(if cold && now >= UP_MS { 2 } else { 1 });
-        let run = Some(Run { incarnation, up_ms: Some(up_ms) });
-        let (kind, took_ms) = if refused { (Kind::Refused, 1.0) } else { (Kind::Served, 50.0) };
-        let ended = Ended { kind, took_ms, run: run.filter(|_| !refused) };
+        let run = Some(StartReport { incarnation, up_ms: Some(up_ms) });
+        let (kind, took_ms) =
+            if refused { (CallEndKind::ConnectionRefused, 1.0) } else { (CallEndKind::Served, 50.0) };
+        let ended = CallEnd { kind, took_ms, run: run.filter(|_| !refused) };
         self.calls.push_back((now + 50.0, choice, ended));
         Ok(cold && now >= UP_MS)
     }
@@ -89,7 +93,7 @@
         let now = step as f64 * STEP_MS;
         if now == UP_MS && start == Start::Listed {
             for process in &mut fleet {
-                process.pool.replace(now, &specs(COLD..SERVERS));
+                process.pool.replace_servers(now, &specs(COLD..SERVERS));
                 process.told = true;
             }
         }
@@ -132,7 +136,7 @@
 fn a_process_that_does_not_know_how_many_there_are_takes_as_little_as_one_of_very_many(
     #[values(1, 30, 300)] processes: usize,
 ) {
-    let options = options(30.0, PROCESSES_UNKNOWN as usize);
+    let options = options(30.0, ASSUMED_PROCESSES as usize);
     let got: Vec<usize> = (0..10).map(|seed| gets(Start::AfterRefusals, &options, processes, seed)).collect();
     assert!(got.iter().all(|got| *got as f64 <= slow_start_bound(30.0)), "{got:?}");
 }
@@ -148,12 +152,12 @@
 #[rstest]
 fn where_every_server_is_cold_only_a_bound_that_is_named_stops_calls() {
     let place = |named: Option<f64>| {
-        let options = Options { slow_start_calls: named, most_in_hand: 4.0, ..options(4.0, 300) };
+        let options = Options { slow_start_calls: named, max_in_flight: 4.0, ..options(4.0, 300) };
         let mut rng = SmallRng::seed_from_u64(1);
         let mut pool = Pool::new(0.0, options, &specs(0..1));
-        pool.replace(10.0, &specs(1..3));
+        pool.replace_servers(10.0, &specs(1..3));
         let chosen = (0..20).filter(|_| pool.choose(20.0, 1.0, true, &[], &mut rng).is_ok()).count();
-        (chosen, pool.in_hand())
+        (chosen, pool.in_flight())
     };
     assert_eq!(place(Some(4.0)), (0, 0), "their shares are fractions of a call");
     assert_eq!(place(None), (8, 8), "as many as have a place");
@@ -163,10 +167,10 @@
 fn a_pool_turns_to_another_number_of_processes_and_to_warm_servers() {
     let mut rng = SmallRng::seed_from_u64(1);
     let mut pool = Pool::new(0.0, options(40.0, 300), &specs(0..1));
-    pool.replace(10.0, &specs(1..2));
+    pool.replace_servers(10.0, &specs(1..2));
     let mut chosen = |pool: &mut Pool, now: f64| pool.choose(now, 1.0, true, &[], &mut rng).is_ok();
     assert!(!chosen(&mut pool, 300.0));
-    pool.share_among(1);
+    pool.set_process_count(1);
     assert!(chosen(&mut pool, 300.0), "the whole share is this process's");
     assert!((0..20).all(|_| chosen(&mut pool, 10.0 + WARM_MS)), "it is warm");
 }
--- a/tests/verdict_rules.rs
+++ b/tests/verdict_rules.rs
@@ -25,7 +25,7 @@
 use sillflow::ejection::routes::routes_of;
 use sillflow::ejection::sequential::{Wealth, bet, contribution, pooled, recovered};
 use sillflow::ejection::wire::Holder;
-use sillflow::route::{self, Ended, Options, Pool, Spec};
+use sillflow::route::{self, CallEnd, Options, Pool, Spec};
 use sillflow::route_exchange::merge::{Change, Held, Merged};
 
 const ZONES: usize = 3;
@@ -907,19 +907,19 @@
 
 /// So many calls of a pool of four, 20 ms apart, all of which go well; how many went to each server.
 fn went(pool: &mut Pool, calls: usize, safe: bool) -> [usize; 4] {
-    went_beside(pool, calls, safe, route::Kind::Served)
+    went_beside(pool, calls, safe, route::CallEndKind::Served)
 }
 
 /// The same where those to the first one end so.
-fn went_beside(pool: &mut Pool, calls: usize, safe: bool, first: route::Kind) -> [usize; 4] {
+fn went_beside(pool: &mut Pool, calls: usize, safe: bool, first: route::CallEndKind) -> [usize; 4] {
     let mut rng = SmallRng::seed_from_u64(27);
     let mut went = [0; 4];
     for call in 0..calls {
         let now = 20.0 * call as f64;
         let choice = pool.choose(now, 1.0, safe, &[], &mut rng).expect("room");
         went[usize::from(choice.address.port() - 9000)] += 1;
-        let kind = if choice.address == at(0) { first } else { route::Kind::Served };
-        pool.ended(now + 10.0, &choice, &Ended { kind, took_ms: 10.0, run: None });
+        let kind = if choice.address == at(0) { first } else { route::CallEndKind::Served };
+        pool.finish_call(now + 10.0, &choice, &CallEnd { kind, took_ms: 10.0, run: None });
     }
     went
 }
@@ -928,7 +928,7 @@
     let specs: Vec<Spec> =
         (0..4).map(|n| Spec { address: at(n), zone: String::new(), weight: 1.0 }).collect();
     let mut pool = Pool::new(0.0, Options::default(), &specs);
-    pool.follow(0.0, shares.iter().map(|(server, share)| (at(*server), *share)).collect());
+    pool.set_fleet_shares(0.0, shares.iter().map(|(server, share)| (at(*server), *share)).collect());
     pool
 }
 
@@ -941,8 +941,9 @@
     let part = went(&mut pool(&[(0, Share::Part(0.3))]), 4000, true);
     assert!(part[0] > usual[0] / 10 && part[0] < usual[0] * 2 / 3, "{part:?} beside {usual:?}");
     // In 80 s a dead one is avoided; one that is asked for gets a call a second, if it may be made twice.
-    let dead =
-        |shares: &[(usize, Share)], safe| went_beside(&mut pool(shares), 4000, safe, route::Kind::Refused)[0];
+    let dead = |shares: &[(usize, Share)], safe| {
+        went_beside(&mut pool(shares), 4000, safe, route::CallEndKind::ConnectionRefused)[0]
+    };
     let avoided = dead(&[], true);
     assert!(avoided < 20 && dead(&[(0, Share::Asked)], false) < 20, "{avoided}");
     let asked = dead(&[(0, Share::Asked)], true);
@@ -960,7 +961,7 @@
     assert!(went(&mut pool(&all), 400, true).iter().all(|went| *went > 0), "all are out, so none is");
     let mut pool = pool(&all[..3]);
     let mut rng = SmallRng::seed_from_u64(27);
-    let most = Options::default().most_in_hand as usize;
+    let most = Options::default().max_in_flight as usize;
     for _ in 0..most {
         assert_eq!(pool.choose(0.0, 1.0, true, &[], &mut rng).expect("room").address, at(3));
     }
