--- a/src/back/control.rs
+++ b/src/back/control.rs
@@ -30,13 +30,13 @@
 /// Reports for as long as the node lives, and at once when its health changes.
 pub async fn report(name: String, own: SocketAddr, peers: watch::Receiver<Peers>, exchange: Handle) {
     let socket = socket(own).await;
-    let mut posture = exchange.posture();
+    let mut node_status = exchange.node_status();
     let mut ticks = interval(PERIOD);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut said = None;
     let mut sending = FailureEpisode::new("reports cannot be sent");
     loop {
-        let healthy = posture.borrow_and_update().healthy;
+        let healthy = node_status.borrow_and_update().healthy;
         // Before the processor is up there is nothing to report: it would list a node that cannot serve.
         if healthy || said.is_some() {
             let state = if healthy { "Ready" } else { "NotReady" };
@@ -51,10 +51,10 @@
                 Err(problem) => sending.failed(&problem),
             }
         }
-        while Some(posture.borrow().healthy) == said.or(Some(false)) {
+        while Some(node_status.borrow().healthy) == said.or(Some(false)) {
             tokio::select! {
                 _ = ticks.tick() => break,
-                changed = posture.changed() => if changed.is_err() { return },
+                changed = node_status.changed() => if changed.is_err() { return },
             }
         }
     }
--- a/src/back/processor.rs
+++ b/src/back/processor.rs
@@ -299,7 +299,7 @@
 
     /// Whether the processor, which has been up, owes a word.
     fn awaits_word(&self) -> bool {
-        let asked = || self.unproved.iter().any(|command| matches!(command, Command::Measure { .. }));
+        let asked = || self.unproved.iter().any(|command| matches!(command, Command::ReadGauges { .. }));
         self.was_up && (self.barrier.is_some() || asked())
     }
 
@@ -313,12 +313,12 @@
     fn put_command(&mut self, command: &Command) {
         let catalog = self.exchange.catalog();
         let line = match command {
-            Command::Begin { of, class, body } => {
-                Line::Begin { id: of.as_str(), class: &catalog.names[*class], body }
+            Command::Run { try_id, class, body } => {
+                Line::Begin { id: try_id.as_str(), class: &catalog.class_names[*class], body }
             }
-            Command::Answer { of, body } => Line::Answer { id: of.as_str(), body },
-            Command::Without { of, notice } => Line::Without { id: of.as_str(), seq: *notice },
-            Command::Measure { tag } => Line::Usage { tag: tag.to_string() },
+            Command::CallReply { try_id, body } => Line::Answer { id: try_id.as_str(), body },
+            Command::SkipCall { try_id, notice } => Line::Without { id: try_id.as_str(), seq: *notice },
+            Command::ReadGauges { tag } => Line::Usage { tag: tag.to_string() },
         };
         self.put(&line);
     }
@@ -346,13 +346,13 @@
     /// tells: what came of that is not known. One without a number is left to the next link.
     async fn pass_over(&mut self, text: &[u8]) {
         let Ok(Numbered { op, seq, id }) = serde_json::from_slice(text) else { return };
-        let Some(of) = TryId::parse(id.as_bytes()) else {
+        let Some(try_id) = TryId::parse(id.as_bytes()) else {
             self.seq = self.seq.max(seq);
             return;
         };
-        if self.is_new(seq, of) && op == "complete" {
+        if self.is_new(seq, try_id) && op == "complete" {
             let (outcome, result) = (Outcome::Error, Bytes::new());
-            self.exchange.tell(Input::RunEnded { of, outcome, took_ms: 0.0, result }).await;
+            self.exchange.send(Input::RunEnded { try_id, outcome, took_ms: 0.0, result }).await;
         }
     }
 
@@ -361,7 +361,7 @@
             Notice::Hi { end, ms } => {
                 self.was_up = true;
                 self.greeted();
-                Input::Up { cold: end == "cold", age_ms: ms }
+                Input::ProcessorUp { cold: end == "cold", age_ms: ms }
             }
             Notice::Complete { seq, id, end, ms, body } if self.is_new(seq, id) => {
                 let outcome = match end {
@@ -370,10 +370,10 @@
                     End::Halted => Outcome::Cancelled,
                     End::Void => Outcome::Moot,
                 };
-                Input::RunEnded { of: id, outcome, took_ms: ms, result: body }
+                Input::RunEnded { try_id: id, outcome, took_ms: ms, result: body }
             }
             Notice::Ask { seq, id, body } if self.is_new(seq, id) => {
-                Input::RunWaits { of: id, notice: seq, body }
+                Input::RunAwaitsCall { try_id: id, notice: seq, body }
             }
             Notice::Used { tag, values } => return self.take_gauges(&tag, values).await,
             Notice::Reject { end, id } => return self.rejected(&end, &id).await,
@@ -383,7 +383,7 @@
             }
             Notice::Complete { .. } | Notice::Ask { .. } | Notice::Unknown => return,
         };
-        self.exchange.tell(input).await;
+        self.exchange.send(input).await;
     }
 
     /// Counts a notice. One that was read before is not new; a new one proves that what was commanded of the
@@ -407,10 +407,10 @@
         }
         let Ok(tag) = tag.parse() else { return };
         // Lines are read in order, so all commands before the question have been read as well.
-        if let Some(at) = self.unproved.iter().position(|command| *command == Command::Measure { tag }) {
+        if let Some(at) = self.unproved.iter().position(|command| *command == Command::ReadGauges { tag }) {
             self.unproved.drain(..=at);
         }
-        self.exchange.tell(Input::Gauges { tag, values }).await;
+        self.exchange.send(Input::Gauges { tag, values }).await;
     }
 
     /// All missed notices are read. Commands that a break may have swallowed are given again: to begin a run
@@ -423,8 +423,8 @@
         }
         self.doubtful.clear();
         for command in again {
-            if let Command::Begin { of, .. } = &command {
-                self.doubtful.insert(*of);
+            if let Command::Run { try_id, .. } = &command {
+                self.doubtful.insert(*try_id);
             }
             self.put_command(&command);
             self.unproved.push_back(command);
@@ -437,13 +437,13 @@
             // No answer, yet one that stands behind all that was missed.
             return self.resume();
         }
-        self.exchange.tell(Input::Anomaly(Anomaly::Rejected)).await;
-        if let Some(of) = TryId::parse(id.as_bytes()).filter(|_| command == "begin") {
-            self.unproved.retain(|command| run_of(command) != Some(of));
+        self.exchange.send(Input::Anomaly(Anomaly::RejectedByProcessor)).await;
+        if let Some(try_id) = TryId::parse(id.as_bytes()).filter(|_| command == "begin") {
+            self.unproved.retain(|command| run_of(command) != Some(try_id));
             // What it does not know it has not run; but one that has just restarted does not know what it ran.
-            let outcome = if self.doubtful.contains(&of) { Outcome::Error } else { Outcome::Moot };
+            let outcome = if self.doubtful.contains(&try_id) { Outcome::Error } else { Outcome::Moot };
             let result = Bytes::new();
-            self.exchange.tell(Input::RunEnded { of, outcome, took_ms: 0.0, result }).await;
+            self.exchange.send(Input::RunEnded { try_id, outcome, took_ms: 0.0, result }).await;
         }
     }
 }
@@ -457,7 +457,9 @@
 
 fn run_of(command: &Command) -> Option<TryId> {
     match command {
-        Command::Begin { of, .. } | Command::Answer { of, .. } | Command::Without { of, .. } => Some(*of),
-        Command::Measure { .. } => None,
+        Command::Run { try_id, .. }
+        | Command::CallReply { try_id, .. }
+        | Command::SkipCall { try_id, .. } => Some(*try_id),
+        Command::ReadGauges { .. } => None,
     }
 }
--- a/src/back/records/mod.rs
+++ b/src/back/records/mod.rs
@@ -135,7 +135,7 @@
     }
 
     fn due(&self) -> Instant {
-        self.since + Duration::from_secs_f64(self.call.wait_ms / 1000.0)
+        self.since + Duration::from_secs_f64(self.call.timeout_ms / 1000.0)
     }
 
     /// Until when it waits for the site where it is before it tries another.
@@ -146,9 +146,9 @@
 
     fn encode(&self, host: SocketAddr) -> Vec<u8> {
         let left_ms = self.due().saturating_duration_since(Instant::now()).as_millis().max(1);
-        let Call { of, body, .. } = &self.call;
+        let Call { try_id, body, .. } = &self.call;
         let mut request = format!(
-            "POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {of}\r\nOp-Wait-Ms: {left_ms}\r\n\
+            "POST /records/op HTTP/1.1\r\nHost: {host}\r\nOp-Of: {try_id}\r\nOp-Wait-Ms: {left_ms}\r\n\
              Content-Length: {}\r\n\r\n",
             body.len()
         )
@@ -260,8 +260,9 @@
         let Some(routes) = &self.routes else {
             return self.peers.borrow().records.ok_or(Outcome::ConnectFailed);
         };
-        let Call { work, safe, .. } = call.call;
-        let leg = routes.choose(work.unwrap_or(USUAL_WORK), safe, &call.tried).map_err(|_| Outcome::Full)?;
+        let Call { hint_ms, safe, .. } = call.call;
+        let leg =
+            routes.choose(hint_ms.unwrap_or(USUAL_WORK), safe, &call.tried).map_err(|_| Outcome::Full)?;
         call.tried.push(leg.server());
         Ok(call.leg.insert(leg).address())
     }
@@ -459,7 +460,7 @@
             if early.is_none()
                 && let Some(address) = self.leave(&mut call)
             {
-                self.exchange.tell(Input::CallRepeated(call.call.id)).await;
+                self.exchange.send(Input::CallRepeated(call.call.id)).await;
                 self.hand_over(Ok(address), call);
                 return false;
             }
@@ -474,10 +475,10 @@
         };
         let (attempt, after) = match heard {
             Heard::Lost => {
-                debug!("the call for {} is made again, as its reply has not come", call.call.of);
+                debug!("the call for {} is made again, as its reply has not come", call.call.try_id);
                 // The second one gives up the first, wherever that stands: it may linger there.
                 call.repeated = true;
-                self.exchange.tell(Input::CallRepeated(call.call.id)).await;
+                self.exchange.send(Input::CallRepeated(call.call.id)).await;
                 self.clone().again(call);
                 return false;
             }
@@ -577,7 +578,7 @@
     /// attempts to spare.
     fn further(&self, call: &mut Timed, tried: Tried) -> Option<SocketAddr> {
         let (sites, journey) = (self.sites.as_ref()?, call.journey.as_mut()?);
-        let due = call.since + Duration::from_secs_f64(call.call.wait_ms / 1000.0);
+        let due = call.since + Duration::from_secs_f64(call.call.timeout_ms / 1000.0);
         if due <= Instant::now() + WORTH_TRYING || !journey.may_retry() {
             return None;
         }
@@ -592,6 +593,6 @@
         let sent = if call.repeated { call.sent } else { call.since };
         let took_ms = sent.elapsed().as_secs_f64() * 1000.0;
         let Call { id, serial, .. } = call.call;
-        self.exchange.tell(Input::CallEnded { id, serial, outcome, took_ms, reply }).await;
+        self.exchange.send(Input::CallEnded { id, serial, outcome, took_ms, reply }).await;
     }
 }
--- a/src/back/records/sites.rs
+++ b/src/back/records/sites.rs
@@ -84,9 +84,9 @@
 /// What the table goes by of a call.
 fn asked<'a>(call: &Call, catalog: &'a Catalog) -> Asked<'a> {
     let origin = call.origin;
-    let tenant = origin.tenant.and_then(|at| catalog.owners.get(at)).filter(|name| !name.is_empty());
+    let tenant = origin.tenant.and_then(|at| catalog.tenant_names.get(at)).filter(|name| !name.is_empty());
     Asked {
-        class: catalog.names.get(origin.class).map_or("", String::as_str),
+        class: catalog.class_names.get(origin.class).map_or("", String::as_str),
         tenant: tenant.map(String::as_str),
         subject: origin.subject,
         address: origin.address,
@@ -193,7 +193,7 @@
             return None;
         }
         let pool = self.pool(&held.from, route)?;
-        let leg = pool.choose(call.work.unwrap_or(USUAL_WORK), call.safe, tried).ok()?;
+        let leg = pool.choose(call.hint_ms.unwrap_or(USUAL_WORK), call.safe, tried).ok()?;
         self.inside.borrow_mut().given.give(&held.from, &route.name, route.capacity, now);
         Some((pool, leg))
     }
--- a/src/exchange/answers.rs
+++ b/src/exchange/answers.rs
@@ -4,7 +4,7 @@
 
 use super::core::Exchange;
 use super::entry::{Entry, Phase};
-use super::kept::{Key, State};
+use super::idempotency::{Key, KeyState};
 use super::types::{Anomaly, Answer, TryId};
 use crate::interface::{Event, Outcome, RequestId};
 use crate::replication::Errand;
@@ -13,25 +13,25 @@
     pub(super) fn abandon(&mut self, id: RequestId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.reply = None;
-            self.gone(id);
+            self.close_request(id);
         }
     }
 
     /// Nobody waits for a request any more, and the decision module has not said so.
-    pub(super) fn gone(&mut self, id: RequestId) {
-        if !self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::Asking { .. })) {
+    pub(super) fn close_request(&mut self, id: RequestId) {
+        if !self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::VerifyingRefusal { .. })) {
             self.events.push(Event::Gone(id));
         }
-        self.settled(id);
+        self.clean_up(id);
     }
 
     /// Drops what is left of a request that is owed no answer any more. A run goes on to its end.
-    pub(super) fn settled(&mut self, id: RequestId) {
+    pub(super) fn clean_up(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if let Some(failsafe) = entry.failsafe.take() {
-            self.waits.try_remove(&failsafe);
+        if let Some(failsafe) = entry.failsafe_timer.take() {
+            self.timers.try_remove(&failsafe);
         }
-        if let Phase::Waiting(pending) = &mut entry.phase {
+        if let Phase::AwaitingCall(pending) = &mut entry.phase {
             pending.placed = None;
         }
         if matches!(entry.phase, Phase::Sharing) {
@@ -39,15 +39,15 @@
             self.events.push(Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 });
         }
         if matches!(entry.phase, Phase::Claiming { .. }) {
-            self.give_up_claim(id);
-        } else if entry.began() {
+            self.cancel_claim(id);
+        } else if entry.is_running() {
             self.await_end(id);
-        } else if matches!(entry.phase, Phase::Copying(_)) {
+        } else if matches!(entry.phase, Phase::Replicating(_)) {
             // Its run is over; only its copies are awaited, by a wait of their own.
-            self.await_copies(id);
+            self.await_replication(id);
         } else {
-            if matches!(entry.phase, Phase::Asking { .. }) {
-                self.send_errand(Errand::GiveUp { request: id.0 });
+            if matches!(entry.phase, Phase::VerifyingRefusal { .. }) {
+                self.send_replication_request(Errand::GiveUp { request: id.0 });
             }
             self.drop_unrun(id);
         }
@@ -55,98 +55,98 @@
 
     pub(super) fn drop_unrun(&mut self, id: RequestId) {
         let Some(entry) = self.entries.remove(&id) else { return };
-        self.forget_try(entry.of, id);
+        self.forget_try(entry.try_id, id);
         match (entry.key, entry.phase) {
-            (Some(key), Phase::Held) => self.release(&key, id),
-            (Some(key), Phase::Sharing) => self.kept.unshare(&key, id),
+            (Some(key), Phase::Held) => self.release_key(&key, id),
+            (Some(key), Phase::Sharing) => self.idempotency.unshare(&key, id),
             _ => {}
         }
     }
 
     /// Leaves a key that never ran to others.
-    pub(super) fn release(&mut self, key: &Key, id: RequestId) {
-        let waiting = self.kept.release(key, id);
-        self.hand_on(key);
-        self.pass_on(waiting, &State::Failed);
+    pub(super) fn release_key(&mut self, key: &Key, id: RequestId) {
+        let waiting = self.idempotency.release(key, id);
+        self.hand_over_key(key);
+        self.share_with_waiting(waiting, &KeyState::Failed);
     }
 
-    pub(super) fn forget_try(&mut self, of: TryId, id: RequestId) {
-        if self.by_try.get(&of) == Some(&id) {
-            self.by_try.remove(&of);
+    pub(super) fn forget_try(&mut self, try_id: TryId, id: RequestId) {
+        if self.by_try.get(&try_id) == Some(&id) {
+            self.by_try.remove(&try_id);
         }
     }
 
     /// Sends the one answer. False where none is owed.
-    pub(super) fn answer(&mut self, id: RequestId, answer: Answer) -> bool {
+    pub(super) fn send_answer(&mut self, id: RequestId, answer: Answer) -> bool {
         let Some(entry) = self.entries.get_mut(&id) else { return false };
         let Some(reply) = entry.reply.take() else { return false };
-        debug!("{} {} {:.0} ms after it came", entry.of, answer.kind(), self.clock.now() - entry.arrived);
-        reply.send(answer, self.posture.level);
-        if let Some(failsafe) = entry.failsafe.take() {
-            self.waits.try_remove(&failsafe);
+        debug!("{} {} {:.0} ms after it came", entry.try_id, answer.kind(), self.clock.now() - entry.arrived);
+        reply.send(answer, self.node_status.level);
+        if let Some(failsafe) = entry.failsafe_timer.take() {
+            self.timers.try_remove(&failsafe);
         }
         true
     }
 
     /// Answers those that waited for the end of another try, and tells the decision module.
-    pub(super) fn pass_on(&mut self, waiting: Vec<RequestId>, state: &State) {
+    pub(super) fn share_with_waiting(&mut self, waiting: Vec<RequestId>, state: &KeyState) {
         for id in waiting {
             if self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::Sharing)) {
-                self.share(id, state.clone());
+                self.finish_sharing(id, state.clone());
             }
         }
     }
 
-    pub(super) fn share(&mut self, id: RequestId, state: State) {
+    pub(super) fn finish_sharing(&mut self, id: RequestId, state: KeyState) {
         let (answer, outcome) = match state {
-            State::Served(result) => (Answer::Served(result), Outcome::Ok),
+            KeyState::Served(result) => (Answer::Served(result), Outcome::Ok),
             _ => (Answer::Failed, Outcome::Error),
         };
-        self.answer(id, answer);
+        self.send_answer(id, answer);
         self.events.push(Event::Done { id, outcome, took_ms: 0.0 });
         self.drop_unrun(id);
     }
 
-    pub(super) fn share_if_over(&mut self, id: RequestId, state: State) {
-        if !matches!(state, State::Held | State::Running) {
-            self.share(id, state);
+    pub(super) fn share_if_finished(&mut self, id: RequestId, state: KeyState) {
+        if !matches!(state, KeyState::Held | KeyState::Running) {
+            self.finish_sharing(id, state);
         }
     }
 
     /// Guards against a decision module or a processor that says nothing: no request stays without answer.
-    pub(super) fn overdue(&mut self, id: RequestId) {
+    pub(super) fn failsafe_expired(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        entry.failsafe = None;
+        entry.failsafe_timer = None;
         let Some(entry) = self.entries.get(&id) else { return };
-        let of = entry.of;
+        let try_id = entry.try_id;
         let answer = match entry.phase {
-            Phase::Held if !entry.further && !self.key_has_run(id) => {
+            Phase::Held if !entry.may_have_run_elsewhere && !self.key_has_run(id) => {
                 Answer::Refused { stay_away_ms: 0.0, last: false }
             }
             _ => Answer::Failed,
         };
-        self.note(Anomaly::Failsafe, of);
-        self.answer(id, answer);
-        self.gone(id);
+        self.record_anomaly(Anomaly::Failsafe, try_id);
+        self.send_answer(id, answer);
+        self.close_request(id);
     }
 
     pub(super) fn refuse(&mut self, id: RequestId, stay_away_ms: f64, last: bool) {
         let Some(entry) = self.entries.get(&id) else { return };
         // Nothing that ran, or shares a run, is ever refused: that would be a promise that it never ran.
         let answer = match entry.phase {
-            Phase::Held if entry.further && entry.key.is_some() && entry.reply.is_some() => {
-                return self.look_first(id, stay_away_ms, last);
+            Phase::Held if entry.may_have_run_elsewhere && entry.key.is_some() && entry.reply.is_some() => {
+                return self.verify_before_refusal(id, stay_away_ms, last);
             }
             Phase::Held if !self.key_has_run(id) => Answer::Refused { stay_away_ms, last },
             _ => Answer::Failed,
         };
-        self.answer(id, answer);
-        self.settled(id);
+        self.send_answer(id, answer);
+        self.clean_up(id);
     }
 
     /// Whether another try of a held request's key has begun within its window: a refusal would deny that.
     pub(super) fn key_has_run(&self, id: RequestId) -> bool {
         let Some(Entry { key: Some(key), arrived, .. }) = self.entries.get(&id) else { return false };
-        key.is_operation() && self.kept.earlier(key, *arrived, true).is_some_and(|holder| holder != id)
+        key.is_operation() && self.idempotency.earlier(key, *arrived, true).is_some_and(|holder| holder != id)
     }
 }
--- a/src/exchange/catalog.rs
+++ b/src/exchange/catalog.rs
@@ -18,13 +18,13 @@
     /// Whether classes carry keys, by place.
     pub keyed: Vec<bool>,
     /// The limits of classes, by place.
-    pub limits: Vec<Duration>,
+    pub deadlines: Vec<Duration>,
     /// The names of all classes by place, also of those that are gone.
-    pub names: Vec<String>,
+    pub class_names: Vec<String>,
     /// The names of the tenants by place; those that are gone have none.
-    pub owners: Vec<String>,
+    pub tenant_names: Vec<String>,
     /// How long front ends keep an idle connection; absent where they may for good.
-    pub idle: Option<Duration>,
+    pub idle_timeout: Option<Duration>,
 }
 
 impl Catalog {
@@ -42,10 +42,10 @@
             classes,
             tenants: places(&site.tenants),
             keyed: site.settings.classes.iter().map(|class| class.effect == Effect::Keyed).collect(),
-            limits: site.settings.classes.iter().map(|class| span(class.deadline_ms)).collect(),
-            names: site.classes.clone(),
-            owners: site.tenants.clone(),
-            idle: idle_ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)),
+            deadlines: site.settings.classes.iter().map(|class| span(class.deadline_ms)).collect(),
+            class_names: site.classes.clone(),
+            tenant_names: site.tenants.clone(),
+            idle_timeout: idle_ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)),
         }
     }
 }
--- a/src/exchange/claims.rs
+++ b/src/exchange/claims.rs
@@ -4,8 +4,8 @@
 use tokio::sync::mpsc;
 
 use super::core::Exchange;
-use super::entry::{Entry, Phase, Wait};
-use super::kept::{Key, State};
+use super::entry::{Entry, Phase, Timer};
+use super::idempotency::{Key, KeyState};
 use super::lifecycle::FAILSAFE_MS;
 use super::time::span;
 use super::types::{Anomaly, Answer, TryId};
@@ -44,13 +44,13 @@
 
 impl Exchange {
     /// Keys of operations are claimed at further nodes from here on.
-    pub fn copying(mut self, copies: Copying) -> Self {
-        self.copies = Some(copies);
+    pub fn with_replication(mut self, copies: Copying) -> Self {
+        self.replication = Some(copies);
         self
     }
 
-    pub(super) fn send_errand(&self, errand: Errand) -> bool {
-        self.copies.as_ref().is_some_and(|copies| copies.errands.send(errand).is_ok())
+    pub(super) fn send_replication_request(&self, errand: Errand) -> bool {
+        self.replication.as_ref().is_some_and(|copies| copies.errands.send(errand).is_ok())
     }
 
     /// Time that a request has left, in ms, ahead of the failsafe.
@@ -60,7 +60,7 @@
 
     /// What the holders are asked for a request's key.
     fn claim_of(&self, id: RequestId, operation: &str) -> Option<Claim> {
-        let (entry, copies) = (self.entries.get(&id)?, self.copies.as_ref()?);
+        let (entry, copies) = (self.entries.get(&id)?, self.replication.as_ref()?);
         let share_ms = whole(self.left_ms(entry));
         Some(Claim {
             request: id.0,
@@ -76,92 +76,95 @@
     pub(super) fn claim(&mut self, id: RequestId, operation: &str) {
         let now = self.clock.now();
         let Some(claim) = self.claim_of(id, operation) else { return };
-        let sent = self.send_errand(Errand::Claim(claim));
+        let sent = self.send_replication_request(Errand::Claim(claim));
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.phase = Phase::Claiming { since: now, theirs: false };
+            entry.phase = Phase::Claiming { since: now, held_elsewhere: false };
         }
         if !sent {
-            self.copies_say(id, News::Unreached);
+            self.replication_update(id, News::Unreached);
         }
     }
 
     /// Whether a try of a keyed request may come after one that has run at another node: it is marked so, or nobody
     /// here marks any.
-    pub(super) fn may_have_run(&self, class: usize, further: bool) -> bool {
+    pub(super) fn may_follow_remote_run(&self, class: usize, further: bool) -> bool {
         let settings = &self.site.settings;
         let alone = |copies: &Copying| copies.alone.contains(&self.site.classes[class]);
         settings.classes[class].effect == Effect::Keyed
-            && self.copies.as_ref().is_some_and(|copies| !alone(copies))
+            && self.replication.as_ref().is_some_and(|copies| !alone(copies))
             && (further || !settings.marks_further)
     }
 
     /// Has the holders say that nobody has run the key of a request, which is refused then. Until they do it is no try
     /// that others here could share.
-    pub(super) fn look_first(&mut self, id: RequestId, stay_away_ms: f64, last: bool) {
+    pub(super) fn verify_before_refusal(&mut self, id: RequestId, stay_away_ms: f64, last: bool) {
         let key = self.entries.get_mut(&id).and_then(|entry| entry.key.take());
         let Some(Key::Operation(_, operation)) = &key else { return };
         let look = self.claim_of(id, operation);
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.phase = Phase::Asking { stay_away_ms, last };
+            entry.phase = Phase::VerifyingRefusal { stay_away_ms, last };
             entry.body = Bytes::new();
         }
         if let Some(key) = &key {
-            self.release(key, id);
+            self.release_key(key, id);
         }
-        if !look.is_some_and(|look| self.send_errand(Errand::Look(look))) {
-            self.copies_say(id, News::Unreached);
+        if !look.is_some_and(|look| self.send_replication_request(Errand::Look(look))) {
+            self.replication_update(id, News::Unreached);
         }
     }
 
     /// Answers a request that was to be refused, as far as the holders know of its key.
     fn looked(&mut self, id: RequestId, news: News) {
-        let Some(Entry { of, phase: Phase::Asking { stay_away_ms, last }, .. }) = self.entries.get(&id)
+        let Some(Entry { try_id, phase: Phase::VerifyingRefusal { stay_away_ms, last }, .. }) =
+            self.entries.get(&id)
         else {
             return;
         };
-        let (of, refused) = (*of, Answer::Refused { stay_away_ms: *stay_away_ms, last: *last });
+        let (try_id, refused) = (*try_id, Answer::Refused { stay_away_ms: *stay_away_ms, last: *last });
         let answer = match news {
             News::Nobodys => refused,
             News::Done(result) => Answer::Served(result),
             News::Taken => {
-                self.note(Anomaly::Taken, of);
+                self.record_anomaly(Anomaly::IdentifierConflict, try_id);
                 Answer::Failed
             }
             News::Failed => Answer::Failed,
             _ => {
-                self.note(Anomaly::Doubt, of);
+                self.record_anomaly(Anomaly::MayHaveRunElsewhere, try_id);
                 Answer::Failed
             }
         };
-        self.answer(id, answer);
+        self.send_answer(id, answer);
         self.drop_unrun(id);
     }
 
     /// Hears what came of an errand.
-    pub(super) fn copies_say(&mut self, id: RequestId, news: News) {
+    pub(super) fn replication_update(&mut self, id: RequestId, news: News) {
         let now = self.clock.now();
         let Some(entry) = self.entries.get_mut(&id) else { return };
         match (&mut entry.phase, news) {
-            (Phase::Asking { .. }, news) => self.looked(id, news),
+            (Phase::VerifyingRefusal { .. }, news) => self.looked(id, news),
             (Phase::Claiming { since, .. }, News::Mine) => {
                 (entry.claimed, entry.claim_ms) = (true, now - *since);
                 self.begin_run(id);
             }
-            (Phase::Claiming { theirs, .. }, News::Theirs) => *theirs = true,
-            (Phase::Claiming { .. }, News::Done(result)) => self.claim_over(id, State::Served(result)),
+            (Phase::Claiming { held_elsewhere, .. }, News::Theirs) => *held_elsewhere = true,
+            (Phase::Claiming { .. }, News::Done(result)) => self.claim_over(id, KeyState::Served(result)),
             (Phase::Claiming { .. }, News::Taken) => {
-                let of = entry.of;
-                self.note(Anomaly::Taken, of);
-                self.claim_over(id, State::Failed);
+                let try_id = entry.try_id;
+                self.record_anomaly(Anomaly::IdentifierConflict, try_id);
+                self.claim_over(id, KeyState::Failed);
             }
-            (Phase::Claiming { .. }, News::Failed) => self.claim_over(id, State::Failed),
+            (Phase::Claiming { .. }, News::Failed) => self.claim_over(id, KeyState::Failed),
             (Phase::Claiming { .. }, News::Doubt)
-            | (Phase::Claiming { theirs: true, .. }, News::Unreached | News::Full) => self.in_doubt(id),
-            (Phase::Claiming { .. }, News::Unreached) if entry.further => self.in_doubt(id),
+            | (Phase::Claiming { held_elsewhere: true, .. }, News::Unreached | News::Full) => {
+                self.in_doubt(id)
+            }
+            (Phase::Claiming { .. }, News::Unreached) if entry.may_have_run_elsewhere => self.in_doubt(id),
             (Phase::Claiming { .. }, News::Unreached) => self.unreached(id),
             (Phase::Claiming { .. }, News::Full) => self.unclaimed(id, Anomaly::HoldersFull),
-            (Phase::Copying(_), News::Copied) => self.copied(id),
-            (Phase::Copying(_), News::TooLarge) => self.copy_late(id),
+            (Phase::Replicating(_), News::Copied) => self.result_replicated(id),
+            (Phase::Replicating(_), News::TooLarge) => self.replication_late(id),
             _ => {}
         }
     }
@@ -169,120 +172,128 @@
     /// The holders cannot be reached: by the operator's choice the request runs under this node's own table alone.
     fn unreached(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get(&id) else { return };
-        let (of, class) = (entry.of, &self.site.classes[entry.class]);
-        if self.copies.as_ref().is_some_and(|copies| copies.alone.contains(class)) {
-            self.note(Anomaly::Alone, of);
+        let (try_id, class) = (entry.try_id, &self.site.classes[entry.class]);
+        if self.replication.as_ref().is_some_and(|copies| copies.alone.contains(class)) {
+            self.record_anomaly(Anomaly::RunWithoutClaim, try_id);
             self.begin_run(id);
         } else {
-            self.unclaimed(id, Anomaly::Unreached);
+            self.unclaimed(id, Anomaly::HoldersUnreachable);
         }
     }
 
     /// Refuses a request whose key cannot be claimed. It has not run.
     fn unclaimed(&mut self, id: RequestId, why: Anomaly) {
-        let Some(of) = self.entries.get(&id).map(|entry| entry.of) else { return };
+        let Some(try_id) = self.entries.get(&id).map(|entry| entry.try_id) else { return };
         let stay_away_ms = self.site.settings.max_retry_after_ms;
-        self.answer(id, Answer::Refused { stay_away_ms, last: false });
-        self.note(why, of);
+        self.send_answer(id, Answer::Refused { stay_away_ms, last: false });
+        self.record_anomaly(why, try_id);
         self.events.push(Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 });
-        self.drop_claim(id, &State::Failed, false);
+        self.drop_claim(id, &KeyState::Failed, false);
     }
 
     /// Fails a request whose key another node may have run. Nothing is known of the key: the next try asks again.
     fn in_doubt(&mut self, id: RequestId) {
-        let Some(of) = self.entries.get(&id).map(|entry| entry.of) else { return };
-        self.note(Anomaly::Doubt, of);
-        self.answer(id, Answer::Failed);
+        let Some(try_id) = self.entries.get(&id).map(|entry| entry.try_id) else { return };
+        self.record_anomaly(Anomaly::MayHaveRunElsewhere, try_id);
+        self.send_answer(id, Answer::Failed);
         self.events.push(Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 });
-        self.drop_claim(id, &State::Failed, false);
+        self.drop_claim(id, &KeyState::Failed, false);
     }
 
     /// Answers a request with what came of another node's run of its key.
-    fn claim_over(&mut self, id: RequestId, state: State) {
+    fn claim_over(&mut self, id: RequestId, state: KeyState) {
         let answer = match &state {
-            State::Served(result) => Answer::Served(result.clone()),
+            KeyState::Served(result) => Answer::Served(result.clone()),
             _ => Answer::Failed,
         };
-        self.answer(id, answer);
+        self.send_answer(id, answer);
         self.events.push(Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 });
         self.drop_claim(id, &state, true);
     }
 
     /// Nobody waits for a claim any more.
-    pub(super) fn give_up_claim(&mut self, id: RequestId) {
-        self.send_errand(Errand::GiveUp { request: id.0 });
-        self.drop_claim(id, &State::Failed, false);
+    pub(super) fn cancel_claim(&mut self, id: RequestId) {
+        self.send_replication_request(Errand::GiveUp { request: id.0 });
+        self.drop_claim(id, &KeyState::Failed, false);
     }
 
     /// Takes a request out that has not run. What came of its key is kept here where it is known.
-    fn drop_claim(&mut self, id: RequestId, state: &State, known: bool) {
+    fn drop_claim(&mut self, id: RequestId, state: &KeyState, known: bool) {
         let Some(entry) = self.entries.remove(&id) else { return };
-        self.forget_try(entry.of, id);
-        if let Some(failsafe) = entry.failsafe {
-            self.waits.try_remove(&failsafe);
+        self.forget_try(entry.try_id, id);
+        if let Some(failsafe) = entry.failsafe_timer {
+            self.timers.try_remove(&failsafe);
         }
         let Some(key) = entry.key else { return };
-        let waiting = self.kept.end(&key, id, state.clone(), None);
+        let waiting = self.idempotency.end(&key, id, state.clone(), None);
         if !known {
-            self.kept.expire(&key, id);
+            self.idempotency.expire(&key, id);
         }
-        self.hand_on(&key);
-        self.pass_on(waiting, state);
+        self.hand_over_key(&key);
+        self.share_with_waiting(waiting, state);
     }
 
     /// A run whose key was claimed is over. Says whether its answer waits for the copies of its result.
-    pub(super) fn copy_end(&mut self, id: RequestId, outcome: Outcome, took_ms: f64, result: &Bytes) -> bool {
+    pub(super) fn replicate_end(
+        &mut self,
+        id: RequestId,
+        outcome: Outcome,
+        took_ms: f64,
+        result: &Bytes,
+    ) -> bool {
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.claimed) else { return false };
         let request = id.0;
         match outcome {
             Outcome::Ok => {
                 let left_ms = self.left_ms(entry).max(0.0);
-                self.send_errand(Errand::End { request, fate: Fate::Done(result.clone()) });
-                self.waits.insert(Wait::Copy(id), span(left_ms));
+                self.send_replication_request(Errand::End { request, fate: Fate::Done(result.clone()) });
+                self.timers.insert(Timer::ReplicationTimeout(id), span(left_ms));
                 let since = self.clock.now();
                 if let Some(entry) = self.entries.get_mut(&id) {
-                    entry.phase = Phase::Copying(Result { result: result.clone(), took_ms, since });
+                    entry.phase = Phase::Replicating(Result { result: result.clone(), took_ms, since });
                 }
                 return true;
             }
             // Proof that it never ran.
-            Outcome::Moot => self.send_errand(Errand::GiveUp { request }),
-            _ => self.send_errand(Errand::End { request, fate: Fate::Failed }),
+            Outcome::Moot => self.send_replication_request(Errand::GiveUp { request }),
+            _ => self.send_replication_request(Errand::End { request, fate: Fate::Failed }),
         };
         false
     }
 
     /// Whether only the copies of a request's result are missing.
-    pub(super) fn is_copying(&self, id: RequestId) -> bool {
-        self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::Copying(_)))
+    pub(super) fn is_replicating(&self, id: RequestId) -> bool {
+        self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::Replicating(_)))
     }
 
     /// A result has its copies: its caller gets it.
-    pub(super) fn copied(&mut self, id: RequestId) {
+    pub(super) fn result_replicated(&mut self, id: RequestId) {
         let now = self.clock.now();
-        let Some(Entry { of, phase: Phase::Copying(done), claim_ms, .. }) = self.entries.get(&id) else {
+        let Some(Entry { try_id, phase: Phase::Replicating(done), claim_ms, .. }) = self.entries.get(&id)
+        else {
             return;
         };
-        let (of, result): (TryId, Bytes) = (*of, done.result.clone());
+        let (try_id, result): (TryId, Bytes) = (*try_id, done.result.clone());
         let took_ms = done.took_ms + claim_ms + (now - done.since);
-        self.finish_run(of, id, Outcome::Ok, took_ms, result);
+        self.finish_run(try_id, id, Outcome::Ok, took_ms, result);
     }
 
     /// A result does not have its copies, and its caller can wait no longer.
-    pub(super) fn copy_late(&mut self, id: RequestId) {
-        let Some(Entry { of, phase: Phase::Copying(_), reply: Some(_), .. }) = self.entries.get(&id) else {
+    pub(super) fn replication_late(&mut self, id: RequestId) {
+        let Some(Entry { try_id, phase: Phase::Replicating(_), reply: Some(_), .. }) = self.entries.get(&id)
+        else {
             return;
         };
-        let of = *of;
-        match self.copies.as_ref().map(|copies| copies.late) {
+        let try_id = *try_id;
+        match self.replication.as_ref().map(|copies| copies.late) {
             Some(Late::Serve) => {
-                self.note(Anomaly::Lowered, of);
-                self.copied(id);
+                self.record_anomaly(Anomaly::ServedBeforeReplication, try_id);
+                self.result_replicated(id);
             }
             _ => {
-                self.note(Anomaly::Uncopied, of);
-                self.answer(id, Answer::Failed);
-                self.settled(id);
+                self.record_anomaly(Anomaly::ResultNotReplicated, try_id);
+                self.send_answer(id, Answer::Failed);
+                self.clean_up(id);
             }
         }
     }
--- a/src/exchange/core.rs
+++ b/src/exchange/core.rs
@@ -13,32 +13,32 @@
 use super::anomalies::Anomalies;
 use super::catalog::Catalog;
 use super::claims::Copying;
-use super::entry::{Entry, Wait};
+use super::entry::{Entry, Timer};
 use super::handed::{Handed, Room};
-use super::kept::{Kept, Key};
+use super::idempotency::{IdempotencyTable, Key};
 use super::receipts::Receipts;
 use super::succession::Remains;
 use super::time::span;
 use super::transitions::Transitions;
-use super::types::{Anomaly, Answer, Call, Command, Input, Posture, TryId};
+use super::types::{Anomaly, Answer, Call, Command, Input, NodeStatus, TryId};
 use crate::clock::Anchored;
 use crate::config::{Site, gauges};
 use crate::interface::{Action, Event, Gauges, RequestId, SayKind, SettingsError};
 use crate::logic::Controller;
 
 /// Inputs taken into one batch at the most, so that timers have their turn in a flood.
-const BATCH: usize = 512;
+const MAX_BATCH: usize = 512;
 /// Gauges that take longer than this to come are done without, in ms.
-const GAUGES_MS: u64 = 15;
+const GAUGES_TIMEOUT_MS: u64 = 15;
 /// Part of the node's own memory that keys and their results may take: one in so many.
-const KEPT_SHARE: usize = 4;
+const IDEMPOTENCY_MEMORY_SHARE: usize = 4;
 
 /// Where the exchange's decisions go.
 pub(super) struct Outputs {
     pub to_processor: mpsc::UnboundedSender<Command>,
-    pub to_below: mpsc::UnboundedSender<Call>,
-    pub shown: watch::Sender<Posture>,
-    pub offered: watch::Sender<Rc<Catalog>>,
+    pub to_dependency: mpsc::UnboundedSender<Call>,
+    pub status_sender: watch::Sender<NodeStatus>,
+    pub catalog_sender: watch::Sender<Rc<Catalog>>,
 }
 
 /// The meeting point of client side and server side.
@@ -49,33 +49,33 @@
     pub(super) clock: Anchored,
     pub(super) receipts: Rc<Receipts>,
     /// When the decision module is to be woken next, by the clock.
-    pub(super) wakes_at: f64,
-    pub(super) ids: Rc<Cell<u32>>,
+    pub(super) next_wake_at: f64,
+    pub(super) next_id: Rc<Cell<u32>>,
     pub(super) inputs: mpsc::Receiver<Input>,
-    pub(super) out: Outputs,
-    pub(super) waits: DelayQueue<Wait>,
+    pub(super) outputs: Outputs,
+    pub(super) timers: DelayQueue<Timer>,
     pub(super) entries: HashMap<RequestId, Entry>,
     pub(super) by_try: HashMap<TryId, RequestId>,
-    pub(super) kept: Kept,
+    pub(super) idempotency: IdempotencyTable,
     pub(super) events: Vec<Event>,
     pub(super) actions: Vec<Action>,
     /// Where keys are claimed, if they are.
-    pub(super) copies: Option<Copying>,
-    pub(super) posture: Posture,
+    pub(super) replication: Option<Copying>,
+    pub(super) node_status: NodeStatus,
     /// How often the settings have changed.
-    pub(super) retuned: u64,
+    pub(super) settings_revision: u64,
     /// The question for gauges that is out, with its wait until that is over.
-    pub(super) asked: Option<(u64, Option<delay_queue::Key>)>,
-    pub(super) tags: u64,
-    pub(super) serials: u64,
+    pub(super) gauge_query: Option<(u64, Option<delay_queue::Key>)>,
+    pub(super) last_gauge_tag: u64,
+    pub(super) last_call_serial: u64,
     pub(super) anomalies: Anomalies,
     pub(super) transitions: Transitions,
     /// Whether the processor has come up: nothing is decided before.
-    pub(super) up: bool,
+    pub(super) processor_is_up: bool,
     /// When it started, by what it said last.
-    pub(super) processor_started: f64,
+    pub(super) processor_started_at: f64,
     /// Whether the notice to leave has come.
-    pub(super) leaving: bool,
+    pub(super) draining: bool,
     /// Requests that are read later than this are never run; infinite without a notice.
     pub(super) grace_ends: f64,
     /// When all that is open is to be answered, as the process is stopped then; infinite without a notice.
@@ -86,12 +86,12 @@
     /// The next process of this node, once it has the keys.
     pub(super) successor: Option<mpsc::UnboundedSender<Handed>>,
     /// What it was told last of the room that is taken here.
-    pub(super) told_room: Room,
+    pub(super) reported_resources: Room,
     /// What the process before takes, and the keys that it has in hand.
-    pub(super) elsewhere: Room,
+    pub(super) predecessor_resources: Room,
     /// What is left of the runs of that process, once it has ended.
-    pub(super) remains: Option<Remains>,
-    pub(super) foreign: HashMap<Key, RequestId>,
+    pub(super) orphaned_runs: Option<Remains>,
+    pub(super) predecessor_keys: HashMap<Key, RequestId>,
     /// Told when nothing is open any more.
     pub(super) finished: Option<oneshot::Sender<()>>,
 }
@@ -101,9 +101,9 @@
         seed: u64,
         site: &Site,
         memory_bytes: usize,
-        ids: Rc<Cell<u32>>,
+        next_id: Rc<Cell<u32>>,
         inputs: mpsc::Receiver<Input>,
-        out: Outputs,
+        outputs: Outputs,
         receipts: Rc<Receipts>,
     ) -> Result<Self, SettingsError> {
         Ok(Self {
@@ -112,36 +112,36 @@
             site: site.clone(),
             clock: receipts.clock(),
             receipts,
-            wakes_at: f64::INFINITY,
-            ids,
+            next_wake_at: f64::INFINITY,
+            next_id,
             inputs,
-            out,
-            waits: DelayQueue::new(),
+            outputs,
+            timers: DelayQueue::new(),
             entries: HashMap::new(),
             by_try: HashMap::new(),
-            kept: Kept::new(memory_bytes / KEPT_SHARE),
+            idempotency: IdempotencyTable::new(memory_bytes / IDEMPOTENCY_MEMORY_SHARE),
             events: Vec::new(),
             actions: Vec::new(),
-            copies: None,
-            posture: Posture::default(),
-            retuned: 0,
-            asked: None,
-            tags: 0,
-            serials: 0,
+            replication: None,
+            node_status: NodeStatus::default(),
+            settings_revision: 0,
+            gauge_query: None,
+            last_gauge_tag: 0,
+            last_call_serial: 0,
             anomalies: Anomalies::default(),
             transitions: Transitions::default(),
-            up: false,
-            processor_started: f64::NEG_INFINITY,
-            leaving: false,
+            processor_is_up: false,
+            processor_started_at: f64::NEG_INFINITY,
+            draining: false,
             grace_ends: f64::INFINITY,
             stop_at: f64::INFINITY,
             wants_traffic: false,
             maintenance: false,
             successor: None,
-            told_room: Room::default(),
-            elsewhere: Room::default(),
-            remains: None,
-            foreign: HashMap::new(),
+            reported_resources: Room::default(),
+            predecessor_resources: Room::default(),
+            orphaned_runs: None,
+            predecessor_keys: HashMap::new(),
             finished: None,
         })
     }
@@ -151,127 +151,131 @@
         loop {
             tokio::select! {
                 input = self.inputs.recv() => match input {
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                     None => return,
                 },
-                Some(wait) = poll_fn(|cx| self.waits.poll_expired(cx)), if !self.waits.is_empty() => {
-                    self.wait_over(wait.into_inner());
+                Some(wait) = poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
+                    self.handle_timer(wait.into_inner());
                 }
             }
-            for _ in 1..BATCH {
+            for _ in 1..MAX_BATCH {
                 let Ok(input) = self.inputs.try_recv() else { break };
-                self.take(input);
+                self.handle_input(input);
             }
-            self.settle();
+            self.process_events();
         }
     }
 
     /// Lets the decision module answer until nothing new follows from its own actions.
-    fn settle(&mut self) {
+    fn process_events(&mut self) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
-            self.ask_controller(self.clock.now(), &events);
+            self.run_controller(self.clock.now(), &events);
         }
         if let Some(finished) = self.finished.take_if(|_| self.entries.is_empty()) {
-            self.tell_room();
+            self.report_resources();
             self.successor = None;
             let _ = finished.send(());
         }
-        if *self.out.shown.borrow() != self.posture {
-            self.out.shown.send_replace(self.posture.clone());
+        if *self.outputs.status_sender.borrow() != self.node_status {
+            self.outputs.status_sender.send_replace(self.node_status.clone());
         }
     }
 
-    pub(super) fn ask_controller(&mut self, now: f64, events: &[Event]) {
+    pub(super) fn run_controller(&mut self, now: f64, events: &[Event]) {
         let mut actions = std::mem::take(&mut self.actions);
         self.controller.handle(now, events, &mut actions);
-        actions.drain(..).for_each(|action| self.carry_out(action));
+        actions.drain(..).for_each(|action| self.apply_action(action));
         self.actions = actions;
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Up { cold, age_ms } => self.processor_up(cold, age_ms),
-            Input::Submit(id, ask, reply) => self.submit(id, ask, reply),
+            Input::ProcessorUp { cold, age_ms } => self.processor_up(cold, age_ms),
+            Input::Submit(id, request, reply) => self.submit(id, request, reply),
             Input::Abandon(id) => self.abandon(id),
-            Input::RunEnded { of, outcome, took_ms, result } => self.run_ended(of, outcome, took_ms, result),
-            Input::RunWaits { of, notice, body } => self.run_waits(of, notice, body),
+            Input::RunEnded { try_id, outcome, took_ms, result } => {
+                self.run_ended(try_id, outcome, took_ms, result)
+            }
+            Input::RunAwaitsCall { try_id, notice, body } => self.run_awaits_call(try_id, notice, body),
             Input::CallEnded { id, serial, outcome, took_ms, reply } => {
                 self.call_ended(id, serial, outcome, took_ms, reply);
             }
-            Input::Gauges { tag, values } => self.measured(tag, &values),
+            Input::Gauges { tag, values } => self.gauges_received(tag, &values),
             Input::CallRepeated(id) => self.events.push(Event::CallRepeated(id)),
-            Input::Anomaly(anomaly) => self.count(anomaly),
-            Input::Copies(id, news) => self.copies_say(id, news),
+            Input::Anomaly(anomaly) => self.count_anomaly(anomaly),
+            Input::Replication(id, news) => self.replication_update(id, news),
             Input::HandOver(successor) => self.hand_over(successor),
-            Input::Handed(handed) => self.take_over(handed),
-            Input::Alone => self.alone(),
+            Input::FromPredecessor(handed) => self.take_over(handed),
+            Input::PredecessorEnded => self.predecessor_ended(),
             Input::Finish(finished) => self.finished = Some(finished),
-            Input::Retune(site) => self.retune(*site),
+            Input::ApplySettings(site) => self.apply_settings(*site),
             Input::Maintenance(wished) => {
                 self.maintenance = wished;
-                self.stand();
+                self.update_status();
             }
             Input::Standby(wished) => {
                 info!("standby {}", if wished { "on" } else { "off" });
-                self.posture.standby = wished;
-                self.stand();
+                self.node_status.standby = wished;
+                self.update_status();
             }
             Input::Drain { stop_in_ms } => self.drain(stop_in_ms),
         }
     }
 
-    fn wait_over(&mut self, wait: Wait) {
+    fn handle_timer(&mut self, wait: Timer) {
         match wait {
-            Wait::Wake => {
+            Timer::Wake => {
                 let now = self.clock.now();
-                self.receipts.timer_was_late(now - self.wakes_at);
+                self.receipts.timer_was_late(now - self.next_wake_at);
                 self.transitions.look(now, &self.controller.limits());
-                self.measure();
-                self.tell_room();
+                self.request_gauges();
+                self.report_resources();
             }
-            Wait::Gauges(tag) => {
-                if let Some((_, late)) = self.asked.as_mut().filter(|(asked, _)| *asked == tag) {
+            Timer::Gauges(tag) => {
+                if let Some((_, late)) = self.gauge_query.as_mut().filter(|(asked, _)| *asked == tag) {
                     *late = None;
                     self.events.push(Event::Timer(Gauges::default()));
                 }
             }
-            Wait::Due(id) => self.overdue(id),
-            Wait::Unended(id) => self.ask_about(id),
-            Wait::Key(key, id) => self.key_outlived(key, id),
-            Wait::Copy(id) => self.copy_late(id),
-            Wait::Retired(retuned) if retuned == self.retuned => self.offer(false),
-            Wait::Retired(_) => {}
-            Wait::Report => self.report_anomalies(),
+            Timer::Failsafe(id) => self.failsafe_expired(id),
+            Timer::RunInquiry(id) => self.query_run(id),
+            Timer::KeyExpiry(key, id) => self.key_expired(key, id),
+            Timer::ReplicationTimeout(id) => self.replication_late(id),
+            Timer::RetiredClasses(retuned) if retuned == self.settings_revision => {
+                self.publish_catalog(false)
+            }
+            Timer::RetiredClasses(_) => {}
+            Timer::AnomalyReport => self.report_anomalies(),
         }
     }
 
     /// Counts what should not happen. Guards the log against a line for each request when much goes wrong.
-    pub(super) fn note(&mut self, anomaly: Anomaly, of: TryId) {
-        debug!("{of} {anomaly}");
-        self.count(anomaly);
+    pub(super) fn record_anomaly(&mut self, anomaly: Anomaly, try_id: TryId) {
+        debug!("{try_id} {anomaly}");
+        self.count_anomaly(anomaly);
     }
 
-    pub(super) fn count(&mut self, anomaly: Anomaly) {
+    pub(super) fn count_anomaly(&mut self, anomaly: Anomaly) {
         if self.anomalies.count(anomaly) {
-            self.waits.insert(Wait::Report, self.anomalies.period());
+            self.timers.insert(Timer::AnomalyReport, self.anomalies.period());
         }
     }
 
     /// Logs what was counted since the last report, and looks again in a period while there is anything to count.
     pub(super) fn report_anomalies(&mut self) {
         if self.anomalies.report() {
-            self.waits.insert(Wait::Report, self.anomalies.period());
+            self.timers.insert(Timer::AnomalyReport, self.anomalies.period());
         }
     }
 
     /// Gauges have come: those of a question that is over are passed over.
-    fn measured(&mut self, tag: u64, values: &[f32]) {
-        if let Some((_, late)) = self.asked.take_if(|(asked, _)| *asked == tag) {
+    fn gauges_received(&mut self, tag: u64, values: &[f32]) {
+        if let Some((_, late)) = self.gauge_query.take_if(|(asked, _)| *asked == tag) {
             let gauges = gauges(&self.site.gauges, values);
-            self.reckon_remains(gauges.on_cores);
+            self.update_orphaned_runs(gauges.on_cores);
             if let Some(late) = late {
-                self.waits.try_remove(&late);
+                self.timers.try_remove(&late);
                 self.events.push(Event::Timer(gauges));
             }
         }
@@ -279,42 +283,45 @@
 
     /// Asks for the gauges, one question at a time: guards against a queue of them that grows for as long as
     /// the processor is silent. The decision module is woken without them meanwhile.
-    pub(super) fn measure(&mut self) {
-        if self.asked.is_some() {
+    pub(super) fn request_gauges(&mut self) {
+        if self.gauge_query.is_some() {
             return self.events.push(Event::Timer(Gauges::default()));
         }
-        self.tags += 1;
-        let late = self.waits.insert(Wait::Gauges(self.tags), Duration::from_millis(GAUGES_MS));
-        self.asked = Some((self.tags, Some(late)));
-        let _ = self.out.to_processor.send(Command::Measure { tag: self.tags });
+        self.last_gauge_tag += 1;
+        let late =
+            self.timers.insert(Timer::Gauges(self.last_gauge_tag), Duration::from_millis(GAUGES_TIMEOUT_MS));
+        self.gauge_query = Some((self.last_gauge_tag, Some(late)));
+        let _ = self.outputs.to_processor.send(Command::ReadGauges { tag: self.last_gauge_tag });
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
-            Action::Run(id) => self.start(id),
+            Action::Run(id) => self.start_run(id),
             Action::Refuse { id, stay_away_ms, last } => self.refuse(id, stay_away_ms, last),
             // Its run is over and well: only its copies are late.
-            Action::Fail(id) if self.is_copying(id) => self.copy_late(id),
+            Action::Fail(id) if self.is_replicating(id) => self.replication_late(id),
             Action::Fail(id) => {
-                self.answer(id, Answer::Failed);
-                self.settled(id);
+                self.send_answer(id, Answer::Failed);
+                self.clean_up(id);
             }
-            Action::Call { id, give_up_at } => self.call(id, give_up_at),
-            Action::Skip(id) => self.skip(id),
-            Action::Reuse(id) => self.reuse(id),
-            Action::Keep { id, .. } => self.keep(id),
+            Action::Call { id, give_up_at } => self.place_call(id, give_up_at),
+            Action::Skip(id) => self.skip_call(id),
+            Action::Reuse(id) => self.reuse_result(id),
+            Action::Keep { id, .. } => self.retain_key(id),
             // A held try leaves the table with its entry; one that ran must stay there.
             Action::Forget(_) => {}
             Action::Health { good } => {
                 self.wants_traffic = good;
-                self.stand();
+                self.update_status();
+            }
+            Action::Say(value) if self.site.settings.say != SayKind::Off => {
+                self.node_status.level = Some(value)
             }
-            Action::Say(value) if self.site.settings.say != SayKind::Off => self.posture.level = Some(value),
             Action::Say(_) => {}
-            Action::CloseIdle { after_ms } => self.posture.idle_ms = Some(after_ms),
+            Action::CloseIdle { after_ms } => self.node_status.idle_ms = Some(after_ms),
             Action::Wake { after_ms } => {
-                self.wakes_at = self.clock.now() + after_ms.max(0.0);
-                self.waits.insert(Wait::Wake, span(after_ms));
+                self.next_wake_at = self.clock.now() + after_ms.max(0.0);
+                self.timers.insert(Timer::Wake, span(after_ms));
             }
         }
     }
--- a/src/exchange/entry.rs
+++ b/src/exchange/entry.rs
@@ -5,29 +5,29 @@
 use tokio_util::time::delay_queue;
 
 use super::claims;
+use super::idempotency::Key;
 use super::inquiry::Inquiry;
-use super::kept::Key;
 use super::types::{Origin, ReplyTo, TryId};
 use crate::interface::RequestId;
 
 /// One wait of the exchange.
-pub(super) enum Wait {
+pub(super) enum Timer {
     /// The decision module asked to be woken.
     Wake,
     /// Gauges are late.
     Gauges(u64),
     /// A request is nearly due.
-    Due(RequestId),
+    Failsafe(RequestId),
     /// A run that nobody waits for has not ended: the processor is asked about it.
-    Unended(RequestId),
+    RunInquiry(RequestId),
     /// A kept key has outlived its use.
-    Key(Key, RequestId),
+    KeyExpiry(Key, RequestId),
     /// Classes that were dropped at this retuning are served no more.
-    Retired(u64),
+    RetiredClasses(u64),
     /// Anomalies are to be logged.
-    Report,
+    AnomalyReport,
     /// A result's copies are late.
-    Copy(RequestId),
+    ReplicationTimeout(RequestId),
 }
 
 /// How far a request has come.
@@ -37,21 +37,21 @@
     /// Its key is being claimed since then; perhaps another node has it.
     Claiming {
         since: f64,
-        theirs: bool,
+        held_elsewhere: bool,
     },
     /// It was to be refused, and the holders are asked whether anybody has run its key. The decision module is done with it.
-    Asking {
+    VerifyingRefusal {
         stay_away_ms: f64,
         last: bool,
     },
     Running,
-    Waiting(Pending),
+    AwaitingCall(PendingCall),
     /// It has run, and its result is copied ahead of its answer.
-    Copying(claims::Result),
+    Replicating(claims::Result),
 }
 
 /// The call that a run waits for.
-pub(super) struct Pending {
+pub(super) struct PendingCall {
     pub(super) notice: u64,
     pub(super) body: Bytes,
     /// The number of the call that is out; the sender is dropped to give the call up.
@@ -59,7 +59,7 @@
 }
 
 pub(super) struct Entry {
-    pub(super) of: TryId,
+    pub(super) try_id: TryId,
     pub(super) class: usize,
     pub(super) origin: Origin,
     pub(super) key: Option<Key>,
@@ -74,7 +74,7 @@
     pub(super) claimed: bool,
     pub(super) claim_ms: f64,
     /// Whether its key may have run at another node.
-    pub(super) further: bool,
+    pub(super) may_have_run_elsewhere: bool,
     /// Work to expect, where its caller says.
     pub(super) hint_ms: Option<f64>,
     /// Gone once the request is answered or given up.
@@ -84,16 +84,16 @@
     /// When the processor was told to run it, by the exchange's clock, in ms.
     pub(super) began_at: f64,
     /// When its caller has given it up at the latest, by the exchange's clock, in ms.
-    pub(super) over_by: f64,
+    pub(super) given_up_by: f64,
     /// The questions about the end of its run, once nobody waits for that any more.
     pub(super) inquiry: Option<Inquiry>,
     /// The wait until it is nearly due. Gone once that is over or called off: the queue uses its keys again.
-    pub(super) failsafe: Option<delay_queue::Key>,
+    pub(super) failsafe_timer: Option<delay_queue::Key>,
     pub(super) phase: Phase,
 }
 
 impl Entry {
-    pub(super) fn began(&self) -> bool {
-        matches!(self.phase, Phase::Running | Phase::Waiting(_))
+    pub(super) fn is_running(&self) -> bool {
+        matches!(self.phase, Phase::Running | Phase::AwaitingCall(_))
     }
 }
--- a/src/exchange/kept.rs
+++ b/src/exchange/idempotency.rs
@@ -30,7 +30,7 @@
 
 /// What has come of a kept try.
 #[derive(Clone, Debug, PartialEq)]
-pub enum State {
+pub enum KeyState {
     /// Held, not begun.
     Held,
     /// Begun and not over, or its end is not known.
@@ -42,11 +42,11 @@
 }
 
 /// How a key stands.
-pub struct Row {
+pub struct IdempotencyRecord {
     /// The try that holds it.
     pub holder: RequestId,
     /// What has come of that.
-    pub state: State,
+    pub state: KeyState,
     /// Requests that arrive later than this are not repeats of the run, in ms.
     pub until: f64,
     /// When the last of those that may look up what came of it is due, in ms.
@@ -56,20 +56,20 @@
     pub digest: u64,
 }
 
-impl Row {
+impl IdempotencyRecord {
     fn bytes(&self) -> usize {
         ROW_BYTES
             + match &self.state {
-                State::Held | State::Running => RESULT_BYTES,
-                State::Served(result) => result.len(),
-                State::Failed => 0,
+                KeyState::Held | KeyState::Running => RESULT_BYTES,
+                KeyState::Served(result) => result.len(),
+                KeyState::Failed => 0,
             }
     }
 }
 
 /// The table.
-pub struct Kept {
-    rows: HashMap<Key, Row>,
+pub struct IdempotencyTable {
+    rows: HashMap<Key, IdempotencyRecord>,
     /// What it takes of the memory, and may take.
     bytes: usize,
     most_bytes: usize,
@@ -77,7 +77,7 @@
     seed: u64,
 }
 
-impl Kept {
+impl IdempotencyTable {
     /// An empty table that stays under so many bytes.
     pub fn new(most_bytes: usize) -> Self {
         Self { rows: HashMap::new(), bytes: 0, most_bytes, seed: fastrand::u64(..) }
@@ -104,14 +104,14 @@
     }
 
     /// How a key stands.
-    pub fn row(&self, key: &Key) -> Option<&Row> {
+    pub fn record(&self, key: &Key) -> Option<&IdempotencyRecord> {
         self.rows.get(key)
     }
 
     /// Enters a key that another process of this node has in hand. Nothing displaces it within its window.
     pub fn adopt(&mut self, key: Key, holder: RequestId, until: f64, digest: u64) {
-        let (state, looked_up) = (State::Running, f64::NEG_INFINITY);
-        let row = Row { holder, state, until, looked_up, waiting: Vec::new(), digest };
+        let (state, looked_up) = (KeyState::Running, f64::NEG_INFINITY);
+        let row = IdempotencyRecord { holder, state, until, looked_up, waiting: Vec::new(), digest };
         self.take(&key);
         self.bytes += row.bytes();
         self.rows.insert(key, row);
@@ -135,7 +135,7 @@
         if fault_injection::is_active(InjectedFault::RepeatRuns) {
             return None;
         }
-        (!begun || row.state != State::Held).then_some(row.holder)
+        (!begun || row.state != KeyState::Held).then_some(row.holder)
     }
 
     /// Notes that a try that is due then may look up what came of the key.
@@ -154,8 +154,8 @@
 
     /// Makes the windows of a class's runs longer by so many ms, as new settings do. Those of runs that have begun are
     /// never made shorter: their callers were promised them.
-    pub fn lengthen(&mut self, class: usize, by_ms: f64) {
-        let of_class = |key: &Key| matches!(key, Key::Operation(of, _) if *of == class);
+    pub fn extend_windows(&mut self, class: usize, by_ms: f64) {
+        let of_class = |key: &Key| matches!(key, Key::Operation(key_class, _) if *key_class == class);
         let rows = self.rows.iter_mut().filter(|(key, _)| by_ms > 0.0 && of_class(key));
         rows.for_each(|(_, row)| row.until += by_ms);
     }
@@ -168,19 +168,26 @@
     /// Enters a held try. Guards a run's entry: nothing displaces it within its window.
     pub fn hold(&mut self, key: &Key, id: RequestId, arrived: f64, digest: u64) {
         if let Some(row) = self.rows.get(key)
-            && row.state != State::Held
+            && row.state != KeyState::Held
             && arrived <= row.until
         {
             return;
         }
         let (waiting, looked_up) =
             self.take(key).map_or((Vec::new(), f64::NEG_INFINITY), |row| (row.waiting, row.looked_up));
-        let row = Row { holder: id, state: State::Held, until: f64::INFINITY, looked_up, waiting, digest };
+        let row = IdempotencyRecord {
+            holder: id,
+            state: KeyState::Held,
+            until: f64::INFINITY,
+            looked_up,
+            waiting,
+            digest,
+        };
         self.bytes += row.bytes();
         self.rows.insert(key.clone(), row);
     }
 
-    fn take(&mut self, key: &Key) -> Option<Row> {
+    fn take(&mut self, key: &Key) -> Option<IdempotencyRecord> {
         let row = self.rows.remove(key)?;
         self.bytes -= row.bytes();
         Some(row)
@@ -193,17 +200,17 @@
             self.take(key);
         }
         self.hold(key, id, arrived, digest);
-        let Some(row) = self.rows.get_mut(key).filter(|row| row.holder == id && row.state == State::Held)
+        let Some(row) = self.rows.get_mut(key).filter(|row| row.holder == id && row.state == KeyState::Held)
         else {
             return false;
         };
-        row.state = State::Running;
+        row.state = KeyState::Running;
         row.until = until;
         true
     }
 
     /// Ends the run of `id`; returns those that wait for its result. `until`, where given, is its new end.
-    pub fn end(&mut self, key: &Key, id: RequestId, state: State, until: Option<f64>) -> Vec<RequestId> {
+    pub fn end(&mut self, key: &Key, id: RequestId, state: KeyState, until: Option<f64>) -> Vec<RequestId> {
         let Some(row) = self.rows.get_mut(key).filter(|row| row.holder == id) else { return Vec::new() };
         self.bytes -= row.bytes();
         row.state = state;
@@ -215,7 +222,7 @@
     /// Takes a try that never ran out of the table; returns those that wait for it.
     pub fn release(&mut self, key: &Key, id: RequestId) -> Vec<RequestId> {
         match self.rows.get(key) {
-            Some(row) if row.holder == id && row.state == State::Held => {
+            Some(row) if row.holder == id && row.state == KeyState::Held => {
                 self.take(key).map_or_else(Vec::new, |row| row.waiting)
             }
             _ => Vec::new(),
@@ -223,9 +230,9 @@
     }
 
     /// What has come of the try that holds the key; where it is not over, `id` is told of its end.
-    pub fn share(&mut self, key: &Key, id: RequestId) -> State {
-        let Some(row) = self.rows.get_mut(key) else { return State::Failed };
-        if matches!(row.state, State::Held | State::Running) {
+    pub fn share(&mut self, key: &Key, id: RequestId) -> KeyState {
+        let Some(row) = self.rows.get_mut(key) else { return KeyState::Failed };
+        if matches!(row.state, KeyState::Held | KeyState::Running) {
             row.waiting.push(id);
         }
         row.state.clone()
--- a/src/exchange/inquiry.rs
+++ b/src/exchange/inquiry.rs
@@ -8,7 +8,7 @@
 use tokio_util::time::delay_queue;
 
 use super::core::Exchange;
-use super::entry::{Entry, Phase, Wait};
+use super::entry::{Entry, Phase, Timer};
 use super::time::span;
 use super::types::Anomaly;
 use crate::fault_injection::{self, InjectedFault};
@@ -39,63 +39,63 @@
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.inquiry.is_none()) else { return };
         let deadline_ms = self.site.settings.classes[entry.class].deadline_ms;
         let gap_ms = (FIRST_DEADLINES * deadline_ms).clamp(LEAST_MS, MOST_MS);
-        let from = entry.over_by.max(now) + gap_ms;
-        let next = self.waits.insert(Wait::Unended(id), span(from - now));
+        let from = entry.given_up_by.max(now) + gap_ms;
+        let next = self.timers.insert(Timer::RunInquiry(id), span(from - now));
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.inquiry = Some(Inquiry { next, from, gap_ms, asked: false });
         }
     }
 
     /// Nobody waits for this result any more, and its copies are late.
-    pub(super) fn await_copies(&mut self, id: RequestId) {
+    pub(super) fn await_replication(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let deadline_ms = self.site.settings.classes[entry.class].deadline_ms;
-        self.waits.insert(Wait::Unended(id), span(deadline_ms.max(LEAST_MS)));
+        self.timers.insert(Timer::RunInquiry(id), span(deadline_ms.max(LEAST_MS)));
     }
 
     /// Asks the processor about a run. While it answers nothing else either, no question is put: they would only pile up.
-    pub(super) fn ask_about(&mut self, id: RequestId) {
+    pub(super) fn query_run(&mut self, id: RequestId) {
         let now = self.clock.now();
-        let is_silent = matches!(self.asked, Some((_, None)));
+        let is_silent = matches!(self.gauge_query, Some((_, None)));
         let Some(entry) = self.entries.get_mut(&id) else { return };
-        if matches!(entry.phase, Phase::Copying(_)) {
-            return self.copied(id);
+        if matches!(entry.phase, Phase::Replicating(_)) {
+            return self.result_replicated(id);
         }
-        let (of, Some(inquiry)) = (entry.of, &mut entry.inquiry) else { return };
+        let (try_id, Some(inquiry)) = (entry.try_id, &mut entry.inquiry) else { return };
         if fault_injection::is_active(InjectedFault::PermitByTimer) {
-            return self.run_ended(of, Outcome::Error, 0.0, Bytes::new());
+            return self.run_ended(try_id, Outcome::Error, 0.0, Bytes::new());
         }
         let asks = !is_silent && now >= inquiry.from;
         let wait_ms = (inquiry.from - now).max(inquiry.gap_ms);
-        inquiry.next = self.waits.insert(Wait::Unended(id), span(wait_ms));
+        inquiry.next = self.timers.insert(Timer::RunInquiry(id), span(wait_ms));
         if !asks {
             return;
         }
         inquiry.gap_ms = (2.0 * inquiry.gap_ms).min(MOST_MS);
         if !std::mem::replace(&mut inquiry.asked, true) {
-            self.note(Anomaly::Outlasts, of);
+            self.record_anomaly(Anomaly::RunOutlastsCaller, try_id);
         }
         self.command_begin(id);
     }
 
     /// The processor has a new link, or has started anew: what it knows of runs that nobody waits for is asked at once.
-    pub(super) fn ask_about_all(&mut self) {
+    pub(super) fn query_all_runs(&mut self) {
         for inquiry in self.entries.values().filter_map(|entry| entry.inquiry.as_ref()) {
-            self.waits.reset(&inquiry.next, span(inquiry.from - self.clock.now()));
+            self.timers.reset(&inquiry.next, span(inquiry.from - self.clock.now()));
         }
     }
 
     /// What an end that the processor tells means for a run. Behind a question, that nothing was begun says only that the
     /// run is over: it may have had its effect.
     pub(super) fn outcome_by(&mut self, id: RequestId, told: Outcome) -> Outcome {
-        let Some(Entry { of, inquiry, .. }) = self.entries.get_mut(&id) else { return told };
-        let of = *of;
+        let Some(Entry { try_id, inquiry, .. }) = self.entries.get_mut(&id) else { return told };
+        let try_id = *try_id;
         let Some(inquiry) = inquiry.take() else { return told };
-        self.waits.try_remove(&inquiry.next);
+        self.timers.try_remove(&inquiry.next);
         if told != Outcome::Moot || !inquiry.asked {
             return told;
         }
-        self.note(Anomaly::Forgotten, of);
+        self.record_anomaly(Anomaly::RunUnknownToProcessor, try_id);
         Outcome::Error
     }
 }
--- a/src/exchange/intake.rs
+++ b/src/exchange/intake.rs
@@ -3,11 +3,11 @@
 use std::sync::Arc;
 
 use super::core::Exchange;
-use super::entry::{Entry, Phase, Wait};
-use super::kept::Key;
+use super::entry::{Entry, Phase, Timer};
+use super::idempotency::Key;
 use super::lifecycle::FAILSAFE_MS;
 use super::time::millis;
-use super::types::{Anomaly, Answer, Ask, Origin, ReplyTo};
+use super::types::{Anomaly, Answer, IncomingRequest, Origin, ReplyTo};
 use crate::clock::wall_ms;
 use crate::fault_injection::{self, InjectedFault};
 use crate::interface::{Effect, Event, Request, RequestId};
@@ -37,51 +37,53 @@
 
 impl Exchange {
     /// Takes a request in, unless it is answered at once.
-    pub(super) fn submit(&mut self, id: RequestId, ask: Ask, reply: ReplyTo) {
-        let arrival = self.arrival(&ask);
+    pub(super) fn submit(&mut self, id: RequestId, request: IncomingRequest, reply: ReplyTo) {
+        let arrival = self.arrival(&request);
         // Tries of one operation carry the same body; reads about one subject need not.
-        let digest = if ask.op_key.is_some() { self.kept.digest(&ask.body) } else { 0 };
-        let key = self.key_of(&ask, arrival.by_keys, digest);
-        let told = ask.patience.map(|patience| arrival.arrived + millis(patience));
-        let over_by = told.unwrap_or(arrival.arrived + self.site.settings.classes[ask.class].deadline_ms);
-        let due = over_by.min(self.stop_at);
+        let digest = if request.op_key.is_some() { self.idempotency.digest(&request.body) } else { 0 };
+        let key = self.key_of(&request, arrival.by_keys, digest);
+        let told = request.caller_timeout.map(|timeout| arrival.arrived + millis(timeout));
+        let given_up_by =
+            told.unwrap_or(arrival.arrived + self.site.settings.classes[request.class].deadline_ms);
+        let due = given_up_by.min(self.stop_at);
         let hopeless = due <= self.clock.now() + HOPELESS_MS;
         // One that can only be refused carries no key: another try that is held under it goes on.
-        let earlier = key.as_ref().and_then(|key| self.kept.earlier(key, arrival.by_keys, hopeless));
+        let earlier = key.as_ref().and_then(|key| self.idempotency.earlier(key, arrival.by_keys, hopeless));
         let looked_up = LookedUp { key: key.as_ref(), digest, earlier, hopeless };
-        if let Some((answer, anomaly)) = self.answer_at_once(&ask, &arrival, &looked_up) {
-            reply.send(answer, self.posture.level);
-            return anomaly.into_iter().for_each(|anomaly| self.note(anomaly, ask.of));
+        if let Some((answer, anomaly)) = self.answer_at_once(&request, &arrival, &looked_up) {
+            reply.send(answer, self.node_status.level);
+            return anomaly.into_iter().for_each(|anomaly| self.record_anomaly(anomaly, request.try_id));
         }
-        let keyed = self.site.settings.classes[ask.class].effect == Effect::Keyed;
+        let keyed = self.site.settings.classes[request.class].effect == Effect::Keyed;
         if let Some(key) = key.as_ref().filter(|_| !hopeless)
             && (earlier.is_none() || keyed)
         {
             // The newest try of an operation carries it, so a third try in one batch repeats the second.
-            self.kept.hold(key, id, arrival.by_keys, digest);
+            self.idempotency.hold(key, id, arrival.by_keys, digest);
         }
         if let Some(key) = key.as_ref().filter(|key| key.is_operation()) {
-            self.kept.look_up_until(key, due);
+            self.idempotency.look_up_until(key, due);
         }
-        let failsafe = self.waits.insert(Wait::Due(id), self.failsafe_in(due));
+        let failsafe = self.timers.insert(Timer::Failsafe(id), self.failsafe_delay(due));
         self.events.push(Event::Request(Request {
             id,
-            class: ask.class,
-            tenant: ask.tenant,
-            key: ask.subject,
+            class: request.class,
+            tenant: request.tenant,
+            key: request.subject,
             due: told,
-            hint_ms: ask.hint_ms,
-            held_kb: ask.held_kb,
+            hint_ms: request.hint_ms,
+            held_kb: request.held_kb,
             waited_ms: self.counted_wait_ms(&arrival),
-            further: ask.further,
+            further: request.is_retry,
             earlier,
         }));
-        self.by_try.insert(ask.of, id);
-        let further = self.may_have_run_elsewhere(&ask);
-        let Ask { of, class, body, hint_ms, subject, address, .. } = ask;
-        let origin = Origin { class, tenant: ask.names_tenant.then_some(ask.tenant), subject, address };
+        self.by_try.insert(request.try_id, id);
+        let may_have_run_elsewhere = self.may_have_run_elsewhere(&request);
+        let IncomingRequest { try_id, class, body, hint_ms, subject, address, .. } = request;
+        let origin =
+            Origin { class, tenant: request.names_tenant.then_some(request.tenant), subject, address };
         let entry = Entry {
-            of,
+            try_id,
             class,
             origin,
             key,
@@ -91,24 +93,24 @@
             body,
             claimed: false,
             claim_ms: 0.0,
-            further,
+            may_have_run_elsewhere,
             hint_ms,
             reply: Some(reply),
             due,
             began_at: f64::INFINITY,
-            over_by,
+            given_up_by,
             inquiry: None,
-            failsafe: Some(failsafe),
+            failsafe_timer: Some(failsafe),
             phase: Phase::Held,
         };
         self.entries.insert(id, entry);
     }
 
-    fn arrival(&self, ask: &Ask) -> Arrival {
+    fn arrival(&self, request: &IncomingRequest) -> Arrival {
         let now = self.clock.now();
-        let received = self.clock.at(ask.received);
+        let received = self.clock.at(request.received);
         // What it waited here behind other inputs counts as well.
-        let waited_ms = now - received + millis(ask.age);
+        let waited_ms = now - received + millis(request.age);
         let arrived = now - waited_ms;
         Arrival { received, waited_ms, arrived, by_keys: self.key_time(arrived) }
     }
@@ -123,51 +125,53 @@
     /// The answer of a request that is not taken in, and what is odd about it.
     fn answer_at_once(
         &self,
-        ask: &Ask,
+        request: &IncomingRequest,
         arrival: &Arrival,
         looked_up: &LookedUp,
     ) -> Option<(Answer, Option<Anomaly>)> {
         let LookedUp { key, digest, earlier, hopeless } = *looked_up;
         let is_operation = key.is_some_and(Key::is_operation);
-        if !self.up {
-            return Some((self.turned_away(ask), None));
+        if !self.processor_is_up {
+            return Some((self.rejection(request), None));
         }
         // Guards the open request of that name: its run and its answer stay its own.
-        let is_open = self.by_try.contains_key(&ask.of);
-        if is_open || key.is_some_and(|key| self.kept.is_of_another(key, arrival.by_keys, digest)) {
-            return Some((Answer::Failed, Some(Anomaly::Taken)));
+        let is_open = self.by_try.contains_key(&request.try_id);
+        if is_open || key.is_some_and(|key| self.idempotency.is_of_another(key, arrival.by_keys, digest)) {
+            return Some((Answer::Failed, Some(Anomaly::IdentifierConflict)));
         }
-        let outlived = arrival.waited_ms >= self.site.settings.classes[ask.class].deadline_ms;
+        let outlived = arrival.waited_ms >= self.site.settings.classes[request.class].deadline_ms;
         if outlived && !hopeless && earlier.is_none() && is_operation {
             // Guards against a second run: a run whose window it came in may be forgotten already.
-            return Some((Answer::Failed, Some(Anomaly::Outlived)));
+            return Some((Answer::Failed, Some(Anomaly::ReceivedTooLate)));
         }
         // A key that is there takes no further room, and its run may be over: its repeats get the result.
-        if key.is_some() && earlier.is_none() && self.kept.is_full() {
-            return Some((self.turned_away(ask), Some(Anomaly::TableFull)));
+        if key.is_some() && earlier.is_none() && self.idempotency.is_full() {
+            return Some((self.rejection(request), Some(Anomaly::IdempotencyTableFull)));
         }
         if self.successor.is_some() && earlier.is_none() && is_operation {
             // Guards against a second run: the next process may have begun one. A refusal would deny that.
-            return Some((Answer::Failed, Some(Anomaly::Handed)));
+            return Some((Answer::Failed, Some(Anomaly::KeysHandedOver)));
         }
         None
     }
 
     /// What a request is the same by as others, if anything.
-    fn key_of(&self, ask: &Ask, arrived: f64, digest: u64) -> Option<Key> {
+    fn key_of(&self, request: &IncomingRequest, arrived: f64, digest: u64) -> Option<Key> {
         let settings = &self.site.settings;
-        let effect = settings.classes[ask.class].effect;
-        let operation = ask.op_key.as_ref();
-        let operation = operation.map(|operation| self.operation_key(ask.class, operation, arrived, digest));
+        let effect = settings.classes[request.class].effect;
+        let operation = request.op_key.as_ref();
+        let operation =
+            operation.map(|operation| self.operation_key(request.class, operation, arrived, digest));
         // A class may have lost its keys by new settings: what is held or ran under one has its window still.
-        let counts = |key: &Key| effect == Effect::Keyed || self.kept.earlier(key, arrived, false).is_some();
-        let subject = ask.subject.filter(|_| effect == Effect::Safe && settings.fresh_ms > 0.0);
-        operation.filter(counts).or_else(|| subject.map(|subject| Key::Subject(ask.class, subject)))
+        let counts =
+            |key: &Key| effect == Effect::Keyed || self.idempotency.earlier(key, arrived, false).is_some();
+        let subject = request.subject.filter(|_| effect == Effect::Safe && settings.fresh_ms > 0.0);
+        operation.filter(counts).or_else(|| subject.map(|subject| Key::Subject(request.class, subject)))
     }
 
     /// Whether its key may have run at another node.
-    fn may_have_run_elsewhere(&self, ask: &Ask) -> bool {
-        ask.op_key.is_some() && self.may_have_run(ask.class, ask.further)
+    fn may_have_run_elsewhere(&self, request: &IncomingRequest) -> bool {
+        request.op_key.is_some() && self.may_follow_remote_run(request.class, request.is_retry)
     }
 
     /// The key of an operation. Callers hear of a class's new name one after the other: a try under one name is a repeat of
@@ -175,11 +179,11 @@
     fn operation_key(&self, class: usize, operation: &Arc<str>, arrived: f64, digest: u64) -> Key {
         let under = |class| Key::Operation(class, operation.clone());
         let own = under(class);
-        if self.kept.row(&own).is_some_and(|row| arrived <= row.until) {
+        if self.idempotency.record(&own).is_some_and(|row| arrived <= row.until) {
             return own;
         }
         let others = (0..self.site.classes.len()).filter(|other| *other != class);
-        others.map(under).find(|key| self.kept.is_of_the_same(key, arrived, digest)).unwrap_or(own)
+        others.map(under).find(|key| self.idempotency.is_of_the_same(key, arrived, digest)).unwrap_or(own)
     }
 
     /// A time as windows of keys go by it: on the clock, but for a planted error.
@@ -190,8 +194,8 @@
     }
 
     /// The answer to one that is not taken in. One that may have run at another node is not refused unasked.
-    fn turned_away(&self, ask: &Ask) -> Answer {
-        match self.may_have_run_elsewhere(ask) {
+    fn rejection(&self, request: &IncomingRequest) -> Answer {
+        match self.may_have_run_elsewhere(request) {
             true => Answer::Failed,
             false => Answer::Refused { stay_away_ms: self.site.settings.max_retry_after_ms, last: false },
         }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -9,9 +9,9 @@
 mod core;
 mod entry;
 mod handed;
+mod idempotency;
 mod inquiry;
 mod intake;
-mod kept;
 mod lifecycle;
 mod receipts;
 mod runs;
@@ -36,17 +36,19 @@
 pub use catalog::Catalog;
 pub use claims::Copying;
 pub use handed::{Handed, HandedKey, Room, Standing, Turn};
-pub use types::{Anomaly, Answer, Ask, Call, Command, Input, Origin, Posture, Reply, ReplyTo, TryId};
+pub use types::{
+    Anomaly, Answer, Call, Command, IncomingRequest, Input, NodeStatus, Origin, Reply, ReplyTo, TryId,
+};
 
 /// Inputs that wait for the exchange before those who give them have to.
-const INPUTS: usize = 4096;
+const INPUT_QUEUE_CAPACITY: usize = 4096;
 
 /// The side of an exchange that clients and servers hold.
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
     next_id: Rc<Cell<u32>>,
-    posture: watch::Receiver<Posture>,
+    node_status: watch::Receiver<NodeStatus>,
     catalog: watch::Receiver<Rc<Catalog>>,
     receipts: Rc<Receipts>,
 }
@@ -54,29 +56,35 @@
 impl Handle {
     /// A number for a further request.
     pub fn new_id(&self) -> RequestId {
-        next(&self.next_id)
+        next_request_id(&self.next_id)
     }
 
     /// What a request comes to that says when it was sent.
-    pub fn receive(&self, ts_ms: f64, class: usize, patience: Option<Duration>, at: Instant) -> Receipt {
-        let limit = self.catalog.borrow().limits.get(class).copied().unwrap_or_default();
-        self.receipts.receive(ts_ms, Terms { patience, limit }, at)
+    pub fn receipt(
+        &self,
+        ts_ms: f64,
+        class: usize,
+        caller_timeout: Option<Duration>,
+        at: Instant,
+    ) -> Receipt {
+        let limit = self.catalog.borrow().deadlines.get(class).copied().unwrap_or_default();
+        self.receipts.receipt(ts_ms, Terms { patience: caller_timeout, limit }, at)
     }
 
     /// Hands over a request under its number; its answer goes to `reply`.
-    pub async fn submit(&self, id: RequestId, ask: Ask, reply: ReplyTo) {
-        self.tell(Input::Submit(id, ask, reply)).await;
+    pub async fn submit(&self, id: RequestId, request: IncomingRequest, reply: ReplyTo) {
+        self.send(Input::Submit(id, request, reply)).await;
     }
 
     /// Tells of anything else that has happened.
-    pub async fn tell(&self, input: Input) {
+    pub async fn send(&self, input: Input) {
         // The exchange ends only with the process.
         let _ = self.inputs.send(input).await;
     }
 
     /// What the node shows of itself, now and as it changes.
-    pub fn posture(&self) -> watch::Receiver<Posture> {
-        self.posture.clone()
+    pub fn node_status(&self) -> watch::Receiver<NodeStatus> {
+        self.node_status.clone()
     }
 
     /// What requests can name just now.
@@ -85,14 +93,14 @@
     }
 }
 
-fn next(ids: &Cell<u32>) -> RequestId {
+fn next_request_id(ids: &Cell<u32>) -> RequestId {
     let id = RequestId(ids.get());
     ids.set(id.0.wrapping_add(1).max(1));
     id
 }
 
 /// The queues from the exchange to the server side.
-pub struct Servers {
+pub struct ServerQueues {
     /// To the processor.
     pub commands: mpsc::UnboundedReceiver<Command>,
     /// To the tier below.
@@ -107,12 +115,12 @@
     seed: u64,
     site: &Site,
     memory_bytes: usize,
-) -> Result<(Exchange, Handle, Servers), SettingsError> {
-    let (inputs, from_sides) = mpsc::channel(INPUTS);
+) -> Result<(Exchange, Handle, ServerQueues), SettingsError> {
+    let (inputs, from_sides) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let (to_processor, commands) = mpsc::unbounded_channel();
-    let (to_below, calls) = mpsc::unbounded_channel();
-    let (shown, posture) = watch::channel(Posture::default());
-    let (offered, catalog) = watch::channel(Rc::new(Catalog::of(site, false)));
+    let (to_dependency, calls) = mpsc::unbounded_channel();
+    let (status_sender, node_status) = watch::channel(NodeStatus::default());
+    let (catalog_sender, catalog) = watch::channel(Rc::new(Catalog::of(site, false)));
     let next_id = Rc::new(Cell::new(1));
     let receipts = Rc::new(Receipts::begin());
     let exchange = Exchange::new(
@@ -121,9 +129,9 @@
         memory_bytes,
         next_id.clone(),
         from_sides,
-        core::Outputs { to_processor, to_below, shown, offered },
+        core::Outputs { to_processor, to_dependency, status_sender, catalog_sender },
         receipts.clone(),
     )?;
-    let handle = Handle { inputs, next_id, posture, catalog, receipts };
-    Ok((exchange, handle, Servers { commands, calls }))
+    let handle = Handle { inputs, next_id, node_status, catalog, receipts };
+    Ok((exchange, handle, ServerQueues { commands, calls }))
 }
--- a/src/exchange/receipts.rs
+++ b/src/exchange/receipts.rs
@@ -32,7 +32,7 @@
     }
 
     /// What a request comes to that was read then.
-    pub fn receive(&self, ts_ms: f64, terms: Terms, at: Instant) -> Receipt {
+    pub fn receipt(&self, ts_ms: f64, terms: Terms, at: Instant) -> Receipt {
         let readings = Readings { wall_ms: wall_ms(), anchored_ms: self.clock.at(at) };
         let mut offset = self.offset.borrow_mut();
         let before_ms = offset.ms();
--- a/src/exchange/runs.rs
+++ b/src/exchange/runs.rs
@@ -4,8 +4,8 @@
 use log::debug;
 
 use super::core::Exchange;
-use super::entry::{Entry, Phase, Wait};
-use super::kept::{Key, State};
+use super::entry::{Entry, Phase, Timer};
+use super::idempotency::{Key, KeyState};
 use super::time::span;
 use super::types::{Anomaly, Answer, Command, TryId};
 use crate::interface::{Event, Outcome, RequestId, Settings};
@@ -14,7 +14,7 @@
 const WIRE_SLACK_MS: f64 = 50.0;
 
 impl Exchange {
-    pub(super) fn start(&mut self, id: RequestId) {
+    pub(super) fn start_run(&mut self, id: RequestId) {
         let settings = &self.site.settings;
         let Some(entry) = self.entries.get_mut(&id).filter(|entry| matches!(entry.phase, Phase::Held)) else {
             let moot = Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 };
@@ -25,18 +25,18 @@
             // By its key: new settings may have given its class another effect since it was read.
             let keyed = key.is_operation();
             let until = if keyed { entry.received + whole_ms(settings, entry.class) } else { f64::INFINITY };
-            if !self.kept.begin(&key, id, entry.arrived, until, entry.digest) {
+            if !self.idempotency.begin(&key, id, entry.arrived, until, entry.digest) {
                 entry.phase = Phase::Sharing;
-                let of = entry.of;
-                self.note(Anomaly::Repeat, of);
-                let state = self.kept.share(&key, id);
-                return self.share_if_over(id, state);
+                let try_id = entry.try_id;
+                self.record_anomaly(Anomaly::DuplicateRunPrevented, try_id);
+                let state = self.idempotency.share(&key, id);
+                return self.share_if_finished(id, state);
             }
             if keyed {
                 // Held repeats that came in the window look the result up until they are due themselves.
                 let lasts_ms = (until - self.clock.now()).max(0.0) + class.deadline_ms;
-                self.waits.insert(Wait::Key(key.clone(), id), span(lasts_ms));
-                if let (Some(_), Key::Operation(_, operation)) = (&self.copies, &key) {
+                self.timers.insert(Timer::KeyExpiry(key.clone(), id), span(lasts_ms));
+                if let (Some(_), Key::Operation(_, operation)) = (&self.replication, &key) {
                     return self.claim(id, operation);
                 }
             }
@@ -50,15 +50,15 @@
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.phase = Phase::Running;
         entry.began_at = now;
-        debug!("{} begins, of class {}, under {:?}", entry.of, self.site.classes[entry.class], entry.key);
+        debug!("{} begins, of class {}, under {:?}", entry.try_id, self.site.classes[entry.class], entry.key);
         self.command_begin(id);
     }
 
     /// Tells the processor to run a request. For one that runs already nothing happens there.
     pub(super) fn command_begin(&mut self, id: RequestId) {
-        let Some(Entry { of, class, body, .. }) = self.entries.get(&id) else { return };
-        let command = Command::Begin { of: *of, class: *class, body: body.clone() };
-        let _ = self.out.to_processor.send(command);
+        let Some(Entry { try_id, class, body, .. }) = self.entries.get(&id) else { return };
+        let command = Command::Run { try_id: *try_id, class: *class, body: body.clone() };
+        let _ = self.outputs.to_processor.send(command);
     }
 
     /// The end of the window of a run that was received then.
@@ -66,31 +66,31 @@
         received + whole_ms(&self.site.settings, class)
     }
 
-    pub(super) fn run_ended(&mut self, of: TryId, outcome: Outcome, took_ms: f64, result: Bytes) {
-        let Some(&id) = self.by_try.get(&of) else { return };
-        if !self.entries.get(&id).is_some_and(Entry::began) {
+    pub(super) fn run_ended(&mut self, try_id: TryId, outcome: Outcome, took_ms: f64, result: Bytes) {
+        let Some(&id) = self.by_try.get(&try_id) else { return };
+        if !self.entries.get(&id).is_some_and(Entry::is_running) {
             return;
         }
         let outcome = self.outcome_by(id, outcome);
-        if self.copy_end(id, outcome, took_ms, &result) {
+        if self.replicate_end(id, outcome, took_ms, &result) {
             return;
         }
-        self.finish_run(of, id, outcome, took_ms, result);
+        self.finish_run(try_id, id, outcome, took_ms, result);
     }
 
     /// Answers the one who asked for a run, and those that share it.
     pub(super) fn finish_run(
         &mut self,
-        of: TryId,
+        try_id: TryId,
         id: RequestId,
         outcome: Outcome,
         took_ms: f64,
         result: Bytes,
     ) {
         let answer = if outcome == Outcome::Ok { Answer::Served(result.clone()) } else { Answer::Failed };
-        self.answer(id, answer);
+        self.send_answer(id, answer);
         self.events.push(Event::Done { id, outcome, took_ms });
-        self.forget_try(of, id);
+        self.forget_try(try_id, id);
         let Some(entry) = self.entries.remove(&id) else { return };
         if let Some(key) = entry.key {
             // Its notice may come long after its end.
@@ -107,57 +107,57 @@
         result: Bytes,
         ended_at: f64,
     ) {
-        let state = if outcome == Outcome::Ok { State::Served(result) } else { State::Failed };
+        let state = if outcome == Outcome::Ok { KeyState::Served(result) } else { KeyState::Failed };
         let fresh = matches!(key, Key::Subject(..)).then(|| {
             let fresh_ms = if outcome == Outcome::Ok { self.site.settings.fresh_ms } else { 0.0 };
             let fresh_until = ended_at + fresh_ms;
-            self.waits.insert(Wait::Key(key.clone(), id), span(fresh_until - self.clock.now()));
+            self.timers.insert(Timer::KeyExpiry(key.clone(), id), span(fresh_until - self.clock.now()));
             fresh_until
         });
-        let waiting = self.kept.end(&key, id, state.clone(), fresh);
+        let waiting = self.idempotency.end(&key, id, state.clone(), fresh);
         if outcome == Outcome::Moot {
             // Proof that this try never ran: a later one may.
-            self.kept.expire(&key, id);
+            self.idempotency.expire(&key, id);
         }
-        self.hand_on(&key);
+        self.hand_over_key(&key);
         let (served, stale) = waiting.into_iter().partition(|waiting| {
             let arrived = self.entries.get(waiting).map_or(f64::INFINITY, |entry| entry.arrived);
             fresh.is_none_or(|fresh_until| arrived <= fresh_until)
         });
-        self.pass_on(served, &state);
+        self.share_with_waiting(served, &state);
         // They came when the result was no longer fresh; only its notice was late.
-        self.pass_on(stale, &State::Failed);
+        self.share_with_waiting(stale, &KeyState::Failed);
     }
 
     /// Drops a kept key once nobody looks its result up any more: some callers wait longer than its class's limit, and
     /// new settings may have made its window longer.
-    pub(super) fn key_outlived(&mut self, key: Key, id: RequestId) {
+    pub(super) fn key_expired(&mut self, key: Key, id: RequestId) {
         let deadline_ms = match &key {
             Key::Operation(class, _) => self.site.settings.classes[*class].deadline_ms,
             Key::Subject(..) => 0.0,
         };
-        match self.kept.needed_until(&key, id, deadline_ms).map(|until| until - self.clock.now()) {
-            Some(left_ms) if left_ms > 0.0 => drop(self.waits.insert(Wait::Key(key, id), span(left_ms))),
-            _ => self.kept.expire(&key, id),
+        match self.idempotency.needed_until(&key, id, deadline_ms).map(|until| until - self.clock.now()) {
+            Some(ms) if ms > 0.0 => drop(self.timers.insert(Timer::KeyExpiry(key, id), span(ms))),
+            _ => self.idempotency.expire(&key, id),
         }
     }
 
-    pub(super) fn reuse(&mut self, id: RequestId) {
+    pub(super) fn reuse_result(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id).filter(|entry| matches!(entry.phase, Phase::Held)) else {
             return;
         };
         entry.phase = Phase::Sharing;
         let state = match entry.key.as_ref() {
-            Some(key) => self.kept.share(key, id),
-            None => State::Failed,
+            Some(key) => self.idempotency.share(key, id),
+            None => KeyState::Failed,
         };
-        self.share_if_over(id, state);
+        self.share_if_finished(id, state);
     }
 
-    pub(super) fn keep(&mut self, id: RequestId) {
+    pub(super) fn retain_key(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get(&id) else { return };
         if let Some(key) = &entry.key {
-            self.kept.hold(key, id, entry.arrived, entry.digest);
+            self.idempotency.hold(key, id, entry.arrived, entry.digest);
         }
     }
 }
--- a/src/exchange/succession.rs
+++ b/src/exchange/succession.rs
@@ -5,10 +5,10 @@
 use tokio::sync::mpsc;
 
 use super::core::Exchange;
-use super::entry::Wait;
+use super::entry::Timer;
 use super::handed::{Handed, HandedKey, Room, Standing, Turn};
-use super::kept::{Key, State};
-use super::next;
+use super::idempotency::{Key, KeyState};
+use super::next_request_id;
 use super::runs::whole_ms;
 use super::time::span;
 use crate::interface::RequestId;
@@ -47,15 +47,15 @@
     pub(super) fn hand_over(&mut self, successor: mpsc::UnboundedSender<Handed>) {
         info!("handing over with {} requests open", self.entries.len());
         self.successor = Some(successor);
-        let keys: Vec<Key> = self.kept.operations().cloned().collect();
-        keys.iter().for_each(|key| self.hand_on(key));
+        let keys: Vec<Key> = self.idempotency.operations().cloned().collect();
+        keys.iter().for_each(|key| self.hand_over_key(key));
         self.tell_successor(Handed::Turn(Turn {
-            seed: self.kept.seed(),
+            seed: self.idempotency.seed(),
             room: self.room(),
-            standby: self.posture.standby,
+            standby: self.node_status.standby,
             maintenance: self.maintenance,
         }));
-        self.stand();
+        self.update_status();
     }
 
     /// What the requests of this process take.
@@ -65,9 +65,9 @@
     }
 
     /// Tells the next process, where there is one, what is still taken here.
-    pub(super) fn tell_room(&mut self) {
+    pub(super) fn report_resources(&mut self) {
         let room = self.room();
-        if self.successor.is_some() && std::mem::replace(&mut self.told_room, room) != room {
+        if self.successor.is_some() && std::mem::replace(&mut self.reported_resources, room) != room {
             self.tell_successor(Handed::Room(room));
         }
     }
@@ -80,14 +80,14 @@
     }
 
     /// Tells the next process, where there is one, how a key stands.
-    pub(super) fn hand_on(&self, key: &Key) {
+    pub(super) fn hand_over_key(&self, key: &Key) {
         let (Some(_), Key::Operation(class, operation)) = (&self.successor, key) else { return };
-        let row = self.kept.row(key);
+        let row = self.idempotency.record(key);
         let standing = match row.map(|row| &row.state) {
             None => Standing::Free,
-            Some(State::Held | State::Running) => Standing::Open,
-            Some(State::Served(result)) => Standing::Served(result.clone()),
-            Some(State::Failed) => Standing::Failed,
+            Some(KeyState::Held | KeyState::Running) => Standing::Open,
+            Some(KeyState::Served(result)) => Standing::Served(result.clone()),
+            Some(KeyState::Failed) => Standing::Failed,
         };
         let now = self.clock.now();
         let received = row.and_then(|row| self.entries.get(&row.holder)).map_or(now, |entry| entry.received);
@@ -112,17 +112,17 @@
         match handed {
             Handed::Key(key) => self.take_key(key),
             Handed::Turn(turn) => {
-                info!("taking over with {} keys", self.kept.operations().count());
-                self.kept.set_seed(turn.seed);
-                self.elsewhere = turn.room;
-                self.share_room();
-                self.posture.standby = turn.standby;
+                info!("taking over with {} keys", self.idempotency.operations().count());
+                self.idempotency.set_seed(turn.seed);
+                self.predecessor_resources = turn.room;
+                self.reserve_predecessor_resources();
+                self.node_status.standby = turn.standby;
                 self.maintenance = turn.maintenance;
-                self.stand();
+                self.update_status();
             }
             Handed::Room(room) => {
-                self.elsewhere = room;
-                self.share_room();
+                self.predecessor_resources = room;
+                self.reserve_predecessor_resources();
             }
         }
     }
@@ -132,26 +132,26 @@
         // Where the class is gone nobody can ask for it.
         let Some(class) = self.site.classes.iter().position(|name| *name == class) else { return };
         let key = Key::Operation(class, operation.into());
-        let holder = self.foreign.get(&key).copied();
+        let holder = self.predecessor_keys.get(&key).copied();
         if standing == Standing::Free {
             if let Some(holder) = holder {
-                self.end_foreign(&key, holder, State::Failed);
-                self.kept.expire(&key, holder);
+                self.end_foreign(&key, holder, KeyState::Failed);
+                self.idempotency.expire(&key, holder);
             }
             return;
         }
         let holder = holder.unwrap_or_else(|| {
-            let holder = next(&self.ids);
+            let holder = next_request_id(&self.next_id);
             let left_ms = self.left_of_window(class, left_ms);
-            self.kept.adopt(key.clone(), holder, self.clock.now() + left_ms, digest);
-            self.foreign.insert(key.clone(), holder);
+            self.idempotency.adopt(key.clone(), holder, self.clock.now() + left_ms, digest);
+            self.predecessor_keys.insert(key.clone(), holder);
             let lasts_ms = left_ms + self.site.settings.classes[class].deadline_ms;
-            self.waits.insert(Wait::Key(key.clone(), holder), span(lasts_ms));
+            self.timers.insert(Timer::KeyExpiry(key.clone(), holder), span(lasts_ms));
             holder
         });
         match standing {
-            Standing::Served(result) => self.end_foreign(&key, holder, State::Served(result)),
-            Standing::Failed => self.end_foreign(&key, holder, State::Failed),
+            Standing::Served(result) => self.end_foreign(&key, holder, KeyState::Served(result)),
+            Standing::Failed => self.end_foreign(&key, holder, KeyState::Failed),
             Standing::Open | Standing::Free => {}
         }
     }
@@ -164,50 +164,51 @@
     }
 
     /// What another process had in hand is over: those that wait for it here are answered.
-    fn end_foreign(&mut self, key: &Key, holder: RequestId, state: State) {
-        self.foreign.remove(key);
-        let waiting = self.kept.end(key, holder, state.clone(), None);
-        self.pass_on(waiting, &state);
+    fn end_foreign(&mut self, key: &Key, holder: RequestId, state: KeyState) {
+        self.predecessor_keys.remove(key);
+        let waiting = self.idempotency.end(key, holder, state.clone(), None);
+        self.share_with_waiting(waiting, &state);
     }
 
     /// The process before has ended. What it has not told the end of may have run, and has no result. Runs that it had on the
     /// processor go on there: the room that they take is given back as the gauges show that they have ended. Its calls are
     /// given up, as its connections are closed, and linger.
-    pub(super) fn alone(&mut self) {
-        let Room { booked_kb, runs, calls } = std::mem::take(&mut self.elsewhere);
+    pub(super) fn predecessor_ended(&mut self) {
+        let Room { booked_kb, runs, calls } = std::mem::take(&mut self.predecessor_resources);
         self.controller.add_lingering_calls(self.clock.now(), calls);
         if runs > 0 {
             warn!("the process before has left {runs} runs with {booked_kb:.0} kB behind");
-            self.elsewhere = Room { booked_kb, runs, calls: 0 };
-            self.remains = Some(Remains::watched_from(self.clock.now()));
+            self.predecessor_resources = Room { booked_kb, runs, calls: 0 };
+            self.orphaned_runs = Some(Remains::watched_from(self.clock.now()));
         }
-        self.share_room();
-        for (key, holder) in std::mem::take(&mut self.foreign) {
-            self.end_foreign(&key, holder, State::Failed);
+        self.reserve_predecessor_resources();
+        for (key, holder) in std::mem::take(&mut self.predecessor_keys) {
+            self.end_foreign(&key, holder, KeyState::Failed);
         }
     }
 
     /// Reckons what is left of the runs of a process that has ended: no more than wanted a core at any time of late. None of
     /// them is at a call, as nobody is there to answer it.
-    pub(super) fn reckon_remains(&mut self, on_cores: Option<f64>) {
+    pub(super) fn update_orphaned_runs(&mut self, on_cores: Option<f64>) {
         let now = self.clock.now();
-        let (Some(remains), Some(on_cores)) = (&mut self.remains, on_cores) else { return };
-        let Some(left) = remains.look(now, on_cores).filter(|left| *left < self.elsewhere.runs) else {
+        let (Some(remains), Some(on_cores)) = (&mut self.orphaned_runs, on_cores) else { return };
+        let Some(left) = remains.look(now, on_cores).filter(|left| *left < self.predecessor_resources.runs)
+        else {
             return;
         };
         if left == 0 {
             info!("nothing of the process before is left on the cores");
-            self.remains = None;
-            self.elsewhere = Room::default();
+            self.orphaned_runs = None;
+            self.predecessor_resources = Room::default();
         } else {
-            self.elsewhere.runs = left;
+            self.predecessor_resources.runs = left;
         }
-        self.share_room();
+        self.reserve_predecessor_resources();
     }
 
     /// Leaves the decision module the memory, the crowd on the cores and the calls that the process before does not take.
-    pub(super) fn share_room(&mut self) {
-        let Room { booked_kb, runs, calls } = self.elsewhere;
+    pub(super) fn reserve_predecessor_resources(&mut self) {
+        let Room { booked_kb, runs, calls } = self.predecessor_resources;
         self.controller.set_reserved(ReservedCapacity { booked_kb, runs, calls });
     }
 }
--- a/src/exchange/types.rs
+++ b/src/exchange/types.rs
@@ -52,9 +52,9 @@
 
 /// A request as a front has read it.
 #[derive(Debug)]
-pub struct Ask {
+pub struct IncomingRequest {
     /// The name of this try.
-    pub of: TryId,
+    pub try_id: TryId,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
@@ -68,7 +68,7 @@
     /// What a read is about.
     pub subject: Option<u64>,
     /// Whether it is marked as a further try.
-    pub further: bool,
+    pub is_retry: bool,
     /// Rough expected work, in ms.
     pub hint_ms: Option<f64>,
     /// Memory while held, in kB.
@@ -78,7 +78,7 @@
     /// How long before that it came to the machine.
     pub age: Duration,
     /// How long after it came to the machine its caller gives up; the class's limit where it is not told.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The body, as it came.
     pub body: Bytes,
 }
@@ -147,74 +147,74 @@
     /// Answered by the failsafe, as the decision module was silent until it was nearly due.
     Failsafe,
     /// A second run within the window that the table of keys has stopped.
-    Repeat,
+    DuplicateRunPrevented,
     /// Turned away as the table of keys is full.
-    TableFull,
+    IdempotencyTableFull,
     /// Failed unread, as its class or one of its fields makes no sense.
-    Unfit,
+    InvalidRequest,
     /// A command that the processor has not carried out.
-    Rejected,
+    RejectedByProcessor,
     /// Failed, as its name is that of an open request or its key that of another body.
-    Taken,
+    IdentifierConflict,
     /// Failed, as it was read so late that a run of its key may be forgotten.
-    Outlived,
+    ReceivedTooLate,
     /// Failed, as its key came to light only after all keys were handed to the next process.
-    Handed,
+    KeysHandedOver,
     /// A connection that was closed for what came on it.
-    Unreadable,
+    ProtocolError,
     /// A connection that was closed as nothing whole came on it.
-    Silent,
+    IncompleteInput,
     /// A connection that was closed as its answers were not read.
-    Deaf,
+    AnswersNotRead,
     /// A connection that was closed unread, as there was no room for it.
-    Shed,
+    ConnectionLimit,
     /// A connection that could not be accepted.
-    Unaccepted,
+    AcceptFailed,
     /// A run that goes on long after its caller was answered or left.
-    Outlasts,
+    RunOutlastsCaller,
     /// A run that the processor knows nothing of any more, as it says when it is asked.
-    Forgotten,
+    RunUnknownToProcessor,
     /// A question about servers from an address that may not ask.
-    Stranger,
+    StatsQueryForbidden,
     /// Refused, as the holders of its key could not be reached.
-    Unreached,
+    HoldersUnreachable,
     /// Refused, as the holders of its key have no room.
     HoldersFull,
     /// Run under this node's own table alone, as the holders of its key could not be reached.
-    Alone,
+    RunWithoutClaim,
     /// Failed, as it cannot be known whether another node has run it.
-    Doubt,
+    MayHaveRunElsewhere,
     /// Failed, as its result could not be copied in time.
-    Uncopied,
+    ResultNotReplicated,
     /// Served, though its result could not be copied in time.
-    Lowered,
+    ServedBeforeReplication,
 }
 
 impl fmt::Display for Anomaly {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Failsafe => "requests answered by the failsafe",
-            Self::Repeat => "requests repeated a run and were not run",
-            Self::TableFull => "requests turned away with the table of keys full",
-            Self::Unfit => "requests failed unread",
-            Self::Rejected => "requests rejected by the processor",
-            Self::Taken => "requests failed for a name or key that is another's",
-            Self::Outlived => "requests failed as they were read after their keys may be forgotten",
-            Self::Handed => "requests failed as the next process has all keys",
-            Self::Unreadable => "connections closed for what came on them",
-            Self::Silent => "connections closed as nothing whole came on them",
-            Self::Deaf => "connections closed as their answers were not read",
-            Self::Shed => "connections closed unread for lack of room",
-            Self::Unaccepted => "connections could not be accepted",
-            Self::Outlasts => "runs that go on long after their callers were answered or left",
-            Self::Forgotten => "runs that the processor had forgotten the end of",
-            Self::Stranger => "questions about servers from addresses that may not ask",
-            Self::Unreached => "requests refused as the holders of their keys were not reached",
+            Self::DuplicateRunPrevented => "requests repeated a run and were not run",
+            Self::IdempotencyTableFull => "requests turned away with the table of keys full",
+            Self::InvalidRequest => "requests failed unread",
+            Self::RejectedByProcessor => "requests rejected by the processor",
+            Self::IdentifierConflict => "requests failed for a name or key that is another's",
+            Self::ReceivedTooLate => "requests failed as they were read after their keys may be forgotten",
+            Self::KeysHandedOver => "requests failed as the next process has all keys",
+            Self::ProtocolError => "connections closed for what came on them",
+            Self::IncompleteInput => "connections closed as nothing whole came on them",
+            Self::AnswersNotRead => "connections closed as their answers were not read",
+            Self::ConnectionLimit => "connections closed unread for lack of room",
+            Self::AcceptFailed => "connections could not be accepted",
+            Self::RunOutlastsCaller => "runs that go on long after their callers were answered or left",
+            Self::RunUnknownToProcessor => "runs that the processor had forgotten the end of",
+            Self::StatsQueryForbidden => "questions about servers from addresses that may not ask",
+            Self::HoldersUnreachable => "requests refused as the holders of their keys were not reached",
             Self::HoldersFull => "requests refused as the holders of their keys have no room",
-            Self::Alone => "requests run without a claim, under this node's own table alone",
-            Self::Doubt => "requests failed as another node may have run them",
-            Self::Uncopied => "requests failed as their results were not copied in time",
-            Self::Lowered => "requests served with their results not copied in time",
+            Self::RunWithoutClaim => "requests run without a claim, under this node's own table alone",
+            Self::MayHaveRunElsewhere => "requests failed as another node may have run them",
+            Self::ResultNotReplicated => "requests failed as their results were not copied in time",
+            Self::ServedBeforeReplication => "requests served with their results not copied in time",
         })
     }
 }
@@ -223,20 +223,20 @@
 #[derive(Debug)]
 pub enum Input {
     /// The processor is up; nothing is decided before.
-    Up {
+    ProcessorUp {
         /// Whether it started cold.
         cold: bool,
         /// How long ago it started, in ms.
         age_ms: f64,
     },
     /// A client asks.
-    Submit(RequestId, Ask, ReplyTo),
+    Submit(RequestId, IncomingRequest, ReplyTo),
     /// A client waits no longer.
     Abandon(RequestId),
     /// A run is over.
     RunEnded {
         /// Whose run.
-        of: TryId,
+        try_id: TryId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took, in ms.
@@ -245,9 +245,9 @@
         result: Bytes,
     },
     /// A run waits for a call to what lies below.
-    RunWaits {
+    RunAwaitsCall {
         /// Whose run.
-        of: TryId,
+        try_id: TryId,
         /// The processor's number for this wait.
         notice: u64,
         /// The body of the call.
@@ -278,17 +278,17 @@
     /// Something has gone wrong with a request that the exchange does not see itself.
     Anomaly(Anomaly),
     /// What is heard of a claim, or of the copies of a result.
-    Copies(RequestId, News),
+    Replication(RequestId, News),
     /// A further process of this node is ready: it is handed the keys, and told of those that change.
     HandOver(mpsc::UnboundedSender<Handed>),
     /// The process before hands this over.
-    Handed(Handed),
+    FromPredecessor(Handed),
     /// The process before has ended: what it had in hand, and has not told the end of, may have run.
-    Alone,
+    PredecessorEnded,
     /// Resolves once nothing is open any more and nothing runs.
     Finish(oneshot::Sender<()>),
     /// New settings are in force.
-    Retune(Box<Site>),
+    ApplySettings(Box<Site>),
     /// Whether the operator wants no traffic sent here, as the store has it.
     Maintenance(bool),
     /// The same, as told at the operators' door.
@@ -304,30 +304,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Run a request.
-    Begin {
+    Run {
         /// Which.
-        of: TryId,
+        try_id: TryId,
         /// Index of its class.
         class: usize,
         /// Its body.
         body: Bytes,
     },
     /// The reply to the call that a run waits for.
-    Answer {
+    CallReply {
         /// Whose run.
-        of: TryId,
+        try_id: TryId,
         /// The reply.
         body: Bytes,
     },
     /// Go on without the call.
-    Without {
+    SkipCall {
         /// Whose run.
-        of: TryId,
+        try_id: TryId,
         /// The processor's number for the wait.
         notice: u64,
     },
     /// Ask for the gauges.
-    Measure {
+    ReadGauges {
         /// Comes back with them.
         tag: u64,
     },
@@ -354,13 +354,13 @@
     /// Which of its calls.
     pub serial: u64,
     /// The try that it is made for.
-    pub of: TryId,
+    pub try_id: TryId,
     /// What the request is.
     pub origin: Origin,
     /// How long it may take, in ms.
-    pub wait_ms: f64,
+    pub timeout_ms: f64,
     /// The work to expect, as the request was hinted; absent where it was not.
-    pub work: Option<f64>,
+    pub hint_ms: Option<f64>,
     /// The body.
     pub body: Bytes,
     /// Whether it may be made a second time though the first may have run.
@@ -373,7 +373,7 @@
 
 /// What a node shows of itself between requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Posture {
+pub struct NodeStatus {
     /// Whether it wants traffic.
     pub healthy: bool,
     /// Whether it is up and nobody has told it to send clients away.
--- a/src/front/admin.rs
+++ b/src/front/admin.rs
@@ -152,12 +152,12 @@
 }
 
 async fn answer(call: Call, exchange: &Handle) -> Answer {
-    let mut posture = exchange.posture();
+    let mut node_status = exchange.node_status();
     let done = match call {
-        Call::Status => posture.borrow().ready,
+        Call::Status => node_status.borrow().ready,
         Call::Standby(wished) => {
-            exchange.tell(Input::Standby(wished)).await;
-            let obeyed = posture.wait_for(|posture| posture.standby == wished);
+            exchange.send(Input::Standby(wished)).await;
+            let obeyed = node_status.wait_for(|node_status| node_status.standby == wished);
             matches!(timeout(OBEYS_WITHIN, obeyed).await, Ok(Ok(_)))
         }
     };
--- a/src/front/ajp.rs
+++ b/src/front/ajp.rs
@@ -22,7 +22,7 @@
 use super::table::Seat;
 use super::{SPEAKS_WITHIN, Shared, WRITES_WITHIN};
 use crate::config::Ajp;
-use crate::exchange::{Anomaly, Answer, Ask, Input, Reply, ReplyTo};
+use crate::exchange::{Anomaly, Answer, IncomingRequest, Input, Reply, ReplyTo};
 use crate::interface::RequestId;
 use crate::net::stream::Uninterrupted;
 
@@ -68,9 +68,9 @@
     fn anomaly(&self) -> Option<Anomaly> {
         match self {
             Self::Io(_) | Self::Closed => None,
-            Self::Stalled | Self::Silent => Some(Anomaly::Silent),
-            Self::Deaf => Some(Anomaly::Deaf),
-            _ => Some(Anomaly::Unreadable),
+            Self::Stalled | Self::Silent => Some(Anomaly::IncompleteInput),
+            Self::Deaf => Some(Anomaly::AnswersNotRead),
+            _ => Some(Anomaly::ProtocolError),
         }
     }
 }
@@ -165,7 +165,7 @@
     }
 
     /// The request in the core's terms; else the status that answers it.
-    fn ask(&self, front: &Front, body: Bytes) -> Result<Ask, u16> {
+    fn ask(&self, front: &Front, body: Bytes) -> Result<IncomingRequest, u16> {
         if front.options.secret.is_some() && front.options.secret.as_deref().map(str::as_bytes) != self.secret
         {
             return Err(403);
@@ -382,7 +382,7 @@
     if let Err(bad) = serve(link, &front).await {
         debug!("a web server's connection is closed: {bad}");
         if let Some(anomaly) = bad.anomaly() {
-            front.shared.exchange.tell(Input::Anomaly(anomaly)).await;
+            front.shared.exchange.send(Input::Anomaly(anomaly)).await;
         }
     }
 }
@@ -443,9 +443,9 @@
 }
 
 fn health(front: &Front) -> Response {
-    let posture = front.shared.exchange.posture().borrow().clone();
-    let mut response = Response::new(if posture.healthy { 200 } else { 503 });
-    response.headers.extend(posture.level.map(|level| ("Op-Signal", format!("{level:.4}"))));
+    let node_status = front.shared.exchange.node_status().borrow().clone();
+    let mut response = Response::new(if node_status.healthy { 200 } else { 503 });
+    response.headers.extend(node_status.level.map(|level| ("Op-Signal", format!("{level:.4}"))));
     response
 }
 
@@ -453,7 +453,7 @@
 async fn answer(
     link: &mut Link,
     front: &Front,
-    ask: Ask,
+    ask: IncomingRequest,
     reply_to: ReplyTo,
     replies: &mut mpsc::UnboundedReceiver<Reply>,
 ) -> Result<Response, Bad> {
@@ -469,7 +469,7 @@
                 }
             }
             () = link.given_up() => {
-                front.shared.exchange.tell(Input::Abandon(id)).await;
+                front.shared.exchange.send(Input::Abandon(id)).await;
                 return Err(Bad::Closed);
             }
         }
--- a/src/front/fields.rs
+++ b/src/front/fields.rs
@@ -10,7 +10,7 @@
 
 use super::Shared;
 use crate::clock::receipt::{self, Receipt, span};
-use crate::exchange::{Ask, Catalog, TryId};
+use crate::exchange::{Catalog, IncomingRequest, TryId};
 
 /// The longest key of an operation.
 const KEY_BYTES: usize = 64;
@@ -62,7 +62,7 @@
 
 impl Fields<'_> {
     /// The request in the core's terms. One without a name gets a name.
-    pub fn ask(&self, class: &str, shared: &Shared, body: Bytes) -> Result<Ask, Unfit> {
+    pub fn ask(&self, class: &str, shared: &Shared, body: Bytes) -> Result<IncomingRequest, Unfit> {
         let catalog = shared.exchange.catalog();
         let class = *catalog.classes.get(class).ok_or(Unfit::Class)?;
         // Neither is made use of; yet what is out of its range is no request of a front end.
@@ -73,11 +73,11 @@
         let patience = figure(self.timeout_ms, |ms| ms > 0.0 && ms <= PATIENCE_MS)?.map(span);
         let received = Instant::now();
         let Receipt { age, patience } = match ts {
-            Some(ts) => shared.exchange.receive(ts, class, patience, received),
+            Some(ts) => shared.exchange.receipt(ts, class, patience, received),
             None => Receipt { age: Duration::ZERO, patience },
         };
-        Ok(Ask {
-            of: self
+        Ok(IncomingRequest {
+            try_id: self
                 .req
                 .map_or_else(|| Some(TryId::random()), |req| TryId::parse(req.as_bytes()))
                 .ok_or(Unfit::Try)?,
@@ -87,12 +87,12 @@
             address: self.address,
             op_key: self.key(catalog.keyed[class])?,
             subject: self.subject()?,
-            further: self.further()?,
+            is_retry: self.further()?,
             hint_ms: figure(self.work_ms, |ms| (0.0..=WORK_MS).contains(&ms))?,
             held_kb: need.unwrap_or(0.0),
             received,
             age,
-            patience,
+            caller_timeout: patience,
             body,
         })
     }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -56,7 +56,7 @@
 
     /// How long a connection may rest; absent where it may for good.
     fn idle(&self) -> Option<Duration> {
-        self.exchange.catalog().idle.map(|idle| idle + IDLE_MARGIN)
+        self.exchange.catalog().idle_timeout.map(|timeout| timeout + IDLE_MARGIN)
     }
 }
 
@@ -102,7 +102,7 @@
         match accepted {
             Ok((stream, _)) => crowd.admit(stream).await,
             Err(_) if fault_injection::is_active(InjectedFault::AcceptEnds) => break,
-            Err(_) => crowd.shared.exchange.tell(Input::Anomaly(Anomaly::Unaccepted)).await,
+            Err(_) => crowd.shared.exchange.send(Input::Anomaly(Anomaly::AcceptFailed)).await,
         }
     }
     if held && crowd.shared.succeeded.get() {
@@ -142,7 +142,7 @@
             // The one that loses its place has its turn to end.
             tokio::task::yield_now().await;
         } else {
-            self.shared.exchange.tell(Input::Anomaly(Anomaly::Shed)).await;
+            self.shared.exchange.send(Input::Anomaly(Anomaly::ConnectionLimit)).await;
         }
     }
 
--- a/src/front/resp/mod.rs
+++ b/src/front/resp/mod.rs
@@ -23,7 +23,7 @@
 use super::closing::{has_unread, linger};
 use super::table::Seat;
 use super::{SPEAKS_WITHIN, Shared, WRITES_WITHIN};
-use crate::exchange::{Anomaly, Answer, Ask, Input, Posture, Reply, ReplyTo};
+use crate::exchange::{Anomaly, Answer, IncomingRequest, Input, NodeStatus, Reply, ReplyTo};
 use crate::interface::RequestId;
 use crate::net::stream::{Uninterrupted, uninterrupted};
 
@@ -60,9 +60,9 @@
     let (answers, answered) = mpsc::unbounded_channel();
     let (others, other) = mpsc::unbounded_channel();
     let (open, seat) = (Open::default(), Rc::new(seat));
-    let posture = shared.exchange.posture();
+    let node_status = shared.exchange.node_status();
     let to = Uninterrupted::new(to);
-    let writer = Writer { to, answered, other, open: open.clone(), seat: seat.clone(), posture };
+    let writer = Writer { to, answered, other, open: open.clone(), seat: seat.clone(), node_status };
     let mut reader = Reader {
         from,
         address,
@@ -98,7 +98,7 @@
         linger(&mut from).await;
     }
     for id in open.take().into_values() {
-        shared.exchange.tell(Input::Abandon(id)).await;
+        shared.exchange.send(Input::Abandon(id)).await;
     }
 }
 
@@ -106,7 +106,7 @@
 async fn report(bad: &Bad, shared: &Shared) {
     debug!("a front end's connection is closed: {bad}");
     if let Some(anomaly) = bad.anomaly() {
-        shared.exchange.tell(Input::Anomaly(anomaly)).await;
+        shared.exchange.send(Input::Anomaly(anomaly)).await;
     }
 }
 
@@ -133,12 +133,12 @@
     }
 
     async fn read(&mut self) -> Result<(), Bad> {
-        let mut posture = self.shared.exchange.posture();
+        let mut node_status = self.shared.exchange.node_status();
         let closing = self.shared.closing.clone();
         let mut given_back = false;
         let mut last = Instant::now();
         loop {
-            let idle_ms = posture.borrow_and_update().idle_ms;
+            let idle_ms = node_status.borrow_and_update().idle_ms;
             let idle = idle_ms.map(|ms| Duration::from_secs_f64(ms / 1000.0)).or_else(|| self.shared.idle());
             tokio::select! {
                 biased;
@@ -163,7 +163,7 @@
                     last = Instant::now();
                     given_back = self.at_rest() && self.give_back();
                 }
-                Ok(()) = posture.changed(), if !given_back => {}
+                Ok(()) = node_status.changed(), if !given_back => {}
                 () = sleep(GIVE_BACK), if given_back => if self.may_close().await {
                     return Ok(());
                 },
@@ -225,7 +225,9 @@
 
     async fn take(&mut self, message: Message) -> Result<(), Bad> {
         match message {
-            Message::Ask(tag, ask) => return self.ask(tag, Ask { address: self.address, ..ask }).await,
+            Message::Ask(tag, ask) => {
+                return self.ask(tag, IncomingRequest { address: self.address, ..ask }).await;
+            }
             Message::Unfit(tag, why) => {
                 debug!("a request is failed unread: {why}");
                 self.fail(tag).await;
@@ -233,7 +235,7 @@
             Message::Nevermind(tag) => {
                 let open = self.open.borrow_mut().remove(&tag);
                 if let Some(id) = open {
-                    self.shared.exchange.tell(Input::Abandon(id)).await;
+                    self.shared.exchange.send(Input::Abandon(id)).await;
                 }
                 if self.open.borrow().is_empty() {
                     self.seat.rest();
@@ -247,7 +249,7 @@
         Ok(())
     }
 
-    async fn ask(&mut self, tag: u64, ask: Ask) -> Result<(), Bad> {
+    async fn ask(&mut self, tag: u64, ask: IncomingRequest) -> Result<(), Bad> {
         if self.open.borrow().contains_key(&tag) {
             return Err(Bad::TagInUse);
         }
@@ -267,7 +269,7 @@
 
     /// Answers a request that cannot be served here.
     async fn fail(&self, token: u64) {
-        self.shared.exchange.tell(Input::Anomaly(Anomaly::Unfit)).await;
+        self.shared.exchange.send(Input::Anomaly(Anomaly::InvalidRequest)).await;
         if let Ok(slot) = self.unwritten().await {
             let reply = Reply { token, answer: Answer::Failed, level: None, slot: Some(slot) };
             let _ = self.others.send(Outgoing::Reply(reply));
@@ -285,7 +287,7 @@
     other: mpsc::UnboundedReceiver<Outgoing>,
     open: Open,
     seat: Rc<Seat>,
-    posture: watch::Receiver<Posture>,
+    node_status: watch::Receiver<NodeStatus>,
 }
 
 impl Writer {
@@ -321,7 +323,7 @@
         match outgoing {
             Outgoing::Reply(reply) => put_reply(out, reply),
             Outgoing::Status { tag, .. } => {
-                let now = self.posture.borrow();
+                let now = self.node_status.borrow();
                 put_status(out, *tag, now.healthy, now.level);
             }
             Outgoing::Closing => put_closing(out),
--- a/src/front/resp/wire.rs
+++ b/src/front/resp/wire.rs
@@ -10,7 +10,7 @@
 use winnow::token::take;
 use winnow::{ModalResult, Parser, Partial};
 
-use crate::exchange::{Anomaly, Answer, Ask, Reply};
+use crate::exchange::{Anomaly, Answer, IncomingRequest, Reply};
 use crate::front::Shared;
 use crate::front::fields::{Fields, Unfit};
 
@@ -54,9 +54,9 @@
     pub fn anomaly(&self) -> Option<Anomaly> {
         match self {
             Self::Io(_) => None,
-            Self::Silent | Self::Unfinished => Some(Anomaly::Silent),
-            Self::Deaf => Some(Anomaly::Deaf),
-            _ => Some(Anomaly::Unreadable),
+            Self::Silent | Self::Unfinished => Some(Anomaly::IncompleteInput),
+            Self::Deaf => Some(Anomaly::AnswersNotRead),
+            _ => Some(Anomaly::ProtocolError),
         }
     }
 }
@@ -64,7 +64,7 @@
 /// One message of a front end.
 #[derive(Debug)]
 pub(super) enum Message {
-    Ask(u64, Ask),
+    Ask(u64, IncomingRequest),
     /// A request that cannot be served, with what is wrong with it.
     Unfit(u64, Unfit),
     Nevermind(u64),
@@ -124,7 +124,7 @@
     }
 }
 
-fn ask(class: &[u8], words: &[u8], body: &[u8], shared: &Shared) -> Result<Ask, Unfit> {
+fn ask(class: &[u8], words: &[u8], body: &[u8], shared: &Shared) -> Result<IncomingRequest, Unfit> {
     let class = text(class).ok_or(Unfit::Class)?;
     let mut fields = Fields::default();
     for word in text(words).ok_or(Unfit::Text)?.split(',').filter(|word| !word.is_empty()) {
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -150,7 +150,7 @@
     }
     info!("the process before has ended");
     // Where it went without a word, it is this one's turn all the same: the sender is dropped.
-    exchange.tell(Input::Alone).await;
+    exchange.send(Input::PredecessorEnded).await;
 }
 
 /// Takes what one process hands over, to its end.
@@ -163,14 +163,14 @@
     let mut duties = Vec::new();
     loop {
         match receive::<Said>(from).await {
-            Ok(Some(Said::Key(key))) => exchange.tell(Input::Handed(Handed::Key(key))).await,
+            Ok(Some(Said::Key(key))) => exchange.send(Input::FromPredecessor(Handed::Key(key))).await,
             Ok(Some(Said::Turn(of))) => {
-                exchange.tell(Input::Handed(Handed::Turn(of))).await;
+                exchange.send(Input::FromPredecessor(Handed::Turn(of))).await;
                 if let Some(turn) = turn.take() {
                     let _ = turn.send(());
                 }
             }
-            Ok(Some(Said::Room(room))) => exchange.tell(Input::Handed(Handed::Room(room))).await,
+            Ok(Some(Said::Room(room))) => exchange.send(Input::FromPredecessor(Handed::Room(room))).await,
             Ok(Some(Said::Duty(duty))) if duties.len() < MOST_DUTIES => duties.push(*duty),
             Ok(Some(Said::Duty(duty))) => warn!("{} is one duty too many", duty.fence.duty),
             Ok(Some(Said::Session(passed))) => {
--- a/src/node.rs
+++ b/src/node.rs
@@ -114,7 +114,7 @@
     let (mut exchange, handle, servers) = exchange::new(config.seed, &config.site, config.memory_bytes)?;
     let mut copies = Copies::of(&config);
     if let Some((to_exchange, news)) = copies.core.take() {
-        exchange = exchange.copying(to_exchange);
+        exchange = exchange.with_replication(to_exchange);
         spawn_local(carry_news(news, handle.clone()));
     }
     spawn_local(exchange.run());
@@ -382,7 +382,7 @@
 /// Carries what the copies say to the core.
 async fn carry_news(mut news: mpsc::UnboundedReceiver<(u32, News)>, exchange: Handle) {
     while let Some((request, news)) = news.recv().await {
-        exchange.tell(Input::Copies(RequestId(request), news)).await;
+        exchange.send(Input::Replication(RequestId(request), news)).await;
     }
 }
 
@@ -501,7 +501,7 @@
                 info!(
                     "the configuration is read anew; the processor is at {processor}, the classes are {classes}"
                 );
-                exchange.tell(Input::Retune(Box::new(new.site.clone()))).await;
+                exchange.send(Input::ApplySettings(Box::new(new.site.clone()))).await;
                 turning.reached.send_replace(new.peers);
                 turning.publish.send_replace(published);
                 turn_to(&turning.routes, &new.operator.records);
@@ -618,7 +618,7 @@
         };
         if wished != known {
             info!("maintenance {}", if wished { "on" } else { "off" });
-            exchange.tell(Input::Maintenance(wished)).await;
+            exchange.send(Input::Maintenance(wished)).await;
             known = wished;
         }
         if contents.changed().await.is_err() {
@@ -675,7 +675,7 @@
     let (to_next, mut handed) = mpsc::unbounded_channel::<Handed>();
     let (say, said) = mpsc::unbounded_channel();
     let (finish, finished) = oneshot::channel();
-    exchange.tell(Input::HandOver(to_next)).await;
+    exchange.send(Input::HandOver(to_next)).await;
     let telling = spawn_local(handover::tell(next, said));
     let say_handed = say.clone();
     spawn_local(async move {
@@ -685,7 +685,7 @@
     });
     let mut finished = spawn_local(async move {
         fronts.join_all().await;
-        exchange.tell(Input::Finish(finish)).await;
+        exchange.send(Input::Finish(finish)).await;
         let _ = finished.await;
     });
     // Duties are done here for as long as may be: the next process has no place in the fleet before this one's end.
@@ -719,7 +719,7 @@
 /// process that comes meanwhile is handed the keys.
 async fn drain(mut leaving: Leaving, successor: &Successor) {
     let (told, stop) = (leaving.told, leaving.stop);
-    leaving.exchange.tell(Input::Drain { stop_in_ms: stop.as_secs_f64() * 1000.0 }).await;
+    leaving.exchange.send(Input::Drain { stop_in_ms: stop.as_secs_f64() * 1000.0 }).await;
     let mut next = tokio::select! {
         next = successor.come() => Some(next),
         () = sleep_until(told + stop.saturating_sub(GIVE_BACK)) => None,
--- a/src/peers/tell.rs
+++ b/src/peers/tell.rs
@@ -60,13 +60,13 @@
 
     async fn connection(self: Rc<Self>, stream: TcpStream, from: IpAddr) {
         if !self.may_ask(from) {
-            return self.exchange.tell(Input::Anomaly(Anomaly::Stranger)).await;
+            return self.exchange.send(Input::Anomaly(Anomaly::StatsQueryForbidden)).await;
         }
         let mut stream = Stream::new(stream);
         let answered = timeout(DONE_WITHIN, self.answer(&mut stream)).await;
         if let Err(bad) = answered.map_err(|_| Bad::Late).and_then(|answered| Ok(answered?)) {
             debug!("a question about servers is not answered: {bad}");
-            self.exchange.tell(Input::Anomaly(Anomaly::Unreadable)).await;
+            self.exchange.send(Input::Anomaly(Anomaly::ProtocolError)).await;
         }
     }
 
--- a/tests/partners_path.rs
+++ b/tests/partners_path.rs
@@ -405,10 +405,10 @@
         let call = Call {
             id: RequestId(n as u32),
             serial: n,
-            of: TryId::parse(of.as_bytes()).expect("a name"),
+            try_id: TryId::parse(of.as_bytes()).expect("a name"),
             origin: Origin { class, tenant, subject: None, address: None },
-            wait_ms: wait_ms as f64,
-            work: None,
+            timeout_ms: wait_ms as f64,
+            hint_ms: None,
             body: b"call".as_slice().into(),
             safe,
             repeatable: safe,
