--- a/src/exchange/answers.rs
+++ b/src/exchange/answers.rs
@@ -41,7 +41,7 @@
         if matches!(entry.phase, Phase::Claiming { .. }) {
             self.cancel_claim(id);
         } else if entry.is_running() {
-            self.await_end(id);
+            self.schedule_inquiry(id);
         } else if matches!(entry.phase, Phase::Replicating(_)) {
             // Its run is over; only its copies are awaited, by a wait of their own.
             self.await_replication(id);
--- a/src/exchange/claims.rs
+++ b/src/exchange/claims.rs
@@ -6,7 +6,7 @@
 use super::core::Exchange;
 use super::entry::{Entry, Phase, Timer};
 use super::idempotency::{Key, KeyState};
-use super::lifecycle::FAILSAFE_MS;
+use super::lifecycle::FAILSAFE_MARGIN_MS;
 use super::time::span;
 use super::types::{Anomaly, Answer, TryId};
 use crate::config::Late;
@@ -19,19 +19,19 @@
 const AHEAD_MS: f64 = 10.0;
 
 /// The way to the copies.
-pub struct Copying {
+pub struct ReplicationChannel {
     /// Where errands go.
-    pub errands: mpsc::UnboundedSender<Errand>,
+    pub requests: mpsc::UnboundedSender<Errand>,
     /// How long the holders may take to give a claim, in ms.
-    pub claim_ms: u64,
+    pub claim_timeout_ms: u64,
     /// Classes whose requests run under the node's own table where the holders cannot be reached.
-    pub alone: Vec<String>,
+    pub local_only_classes: Vec<String>,
     /// What is done with a result that cannot be copied in time.
-    pub late: Late,
+    pub late_policy: Late,
 }
 
 /// A run's result on its way to further nodes.
-pub(super) struct Result {
+pub(super) struct UnreplicatedResult {
     pub result: Bytes,
     /// How long the run took, in ms, and when it was over.
     pub took_ms: f64,
@@ -44,18 +44,18 @@
 
 impl Exchange {
     /// Keys of operations are claimed at further nodes from here on.
-    pub fn with_replication(mut self, copies: Copying) -> Self {
+    pub fn with_replication(mut self, copies: ReplicationChannel) -> Self {
         self.replication = Some(copies);
         self
     }
 
     pub(super) fn send_replication_request(&self, errand: Errand) -> bool {
-        self.replication.as_ref().is_some_and(|copies| copies.errands.send(errand).is_ok())
+        self.replication.as_ref().is_some_and(|copies| copies.requests.send(errand).is_ok())
     }
 
     /// Time that a request has left, in ms, ahead of the failsafe.
     fn left_ms(&self, entry: &Entry) -> f64 {
-        entry.due - FAILSAFE_MS - AHEAD_MS - self.clock.now()
+        entry.due - FAILSAFE_MARGIN_MS - AHEAD_MS - self.clock.now()
     }
 
     /// What the holders are asked for a request's key.
@@ -66,14 +66,14 @@
             request: id.0,
             key: KeyId::of(&self.site.classes[entry.class], operation),
             body: Body::of(&entry.body),
-            left_ms: whole(self.window_end(entry.class, entry.received) - self.clock.now()),
-            wait_ms: share_ms.min(copies.claim_ms as u32),
+            left_ms: whole(self.repeat_window_end(entry.class, entry.received) - self.clock.now()),
+            wait_ms: share_ms.min(copies.claim_timeout_ms as u32),
             share_ms,
         })
     }
 
     /// Claims the key of a request that is to run.
-    pub(super) fn claim(&mut self, id: RequestId, operation: &str) {
+    pub(super) fn claim_key(&mut self, id: RequestId, operation: &str) {
         let now = self.clock.now();
         let Some(claim) = self.claim_of(id, operation) else { return };
         let sent = self.send_replication_request(Errand::Claim(claim));
@@ -89,7 +89,8 @@
     /// here marks any.
     pub(super) fn may_follow_remote_run(&self, class: usize, further: bool) -> bool {
         let settings = &self.site.settings;
-        let alone = |copies: &Copying| copies.alone.contains(&self.site.classes[class]);
+        let alone =
+            |copies: &ReplicationChannel| copies.local_only_classes.contains(&self.site.classes[class]);
         settings.classes[class].effect == Effect::Keyed
             && self.replication.as_ref().is_some_and(|copies| !alone(copies))
             && (further || !settings.marks_further)
@@ -173,7 +174,7 @@
     fn unreached(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let (try_id, class) = (entry.try_id, &self.site.classes[entry.class]);
-        if self.replication.as_ref().is_some_and(|copies| copies.alone.contains(class)) {
+        if self.replication.as_ref().is_some_and(|copies| copies.local_only_classes.contains(class)) {
             self.record_anomaly(Anomaly::RunWithoutClaim, try_id);
             self.begin_run(id);
         } else {
@@ -250,7 +251,8 @@
                 self.timers.insert(Timer::ReplicationTimeout(id), span(left_ms));
                 let since = self.clock.now();
                 if let Some(entry) = self.entries.get_mut(&id) {
-                    entry.phase = Phase::Replicating(Result { result: result.clone(), took_ms, since });
+                    entry.phase =
+                        Phase::Replicating(UnreplicatedResult { result: result.clone(), took_ms, since });
                 }
                 return true;
             }
@@ -285,7 +287,7 @@
             return;
         };
         let try_id = *try_id;
-        match self.replication.as_ref().map(|copies| copies.late) {
+        match self.replication.as_ref().map(|copies| copies.late_policy) {
             Some(Late::Serve) => {
                 self.record_anomaly(Anomaly::ServedBeforeReplication, try_id);
                 self.result_replicated(id);
--- a/src/exchange/core.rs
+++ b/src/exchange/core.rs
@@ -12,14 +12,14 @@
 
 use super::anomalies::Anomalies;
 use super::catalog::Catalog;
-use super::claims::Copying;
+use super::claims::ReplicationChannel;
 use super::entry::{Entry, Timer};
-use super::handed::{Handed, Room};
+use super::handed::{HandoverMessage, PredecessorResources};
 use super::idempotency::{IdempotencyTable, Key};
 use super::receipts::Receipts;
-use super::succession::Remains;
+use super::succession::OrphanedRunEstimate;
 use super::time::span;
-use super::transitions::Transitions;
+use super::transitions::StateChangeLog;
 use super::types::{Anomaly, Answer, Call, Command, Input, NodeStatus, TryId};
 use crate::clock::Anchored;
 use crate::config::{Site, gauges};
@@ -60,7 +60,7 @@
     pub(super) events: Vec<Event>,
     pub(super) actions: Vec<Action>,
     /// Where keys are claimed, if they are.
-    pub(super) replication: Option<Copying>,
+    pub(super) replication: Option<ReplicationChannel>,
     pub(super) node_status: NodeStatus,
     /// How often the settings have changed.
     pub(super) settings_revision: u64,
@@ -69,7 +69,7 @@
     pub(super) last_gauge_tag: u64,
     pub(super) last_call_serial: u64,
     pub(super) anomalies: Anomalies,
-    pub(super) transitions: Transitions,
+    pub(super) transitions: StateChangeLog,
     /// Whether the processor has come up: nothing is decided before.
     pub(super) processor_is_up: bool,
     /// When it started, by what it said last.
@@ -84,13 +84,13 @@
     pub(super) wants_traffic: bool,
     pub(super) maintenance: bool,
     /// The next process of this node, once it has the keys.
-    pub(super) successor: Option<mpsc::UnboundedSender<Handed>>,
+    pub(super) successor: Option<mpsc::UnboundedSender<HandoverMessage>>,
     /// What it was told last of the room that is taken here.
-    pub(super) reported_resources: Room,
+    pub(super) reported_resources: PredecessorResources,
     /// What the process before takes, and the keys that it has in hand.
-    pub(super) predecessor_resources: Room,
+    pub(super) predecessor_resources: PredecessorResources,
     /// What is left of the runs of that process, once it has ended.
-    pub(super) orphaned_runs: Option<Remains>,
+    pub(super) orphaned_runs: Option<OrphanedRunEstimate>,
     pub(super) predecessor_keys: HashMap<Key, RequestId>,
     /// Told when nothing is open any more.
     pub(super) finished: Option<oneshot::Sender<()>>,
@@ -129,7 +129,7 @@
             last_gauge_tag: 0,
             last_call_serial: 0,
             anomalies: Anomalies::default(),
-            transitions: Transitions::default(),
+            transitions: StateChangeLog::default(),
             processor_is_up: false,
             processor_started_at: f64::NEG_INFINITY,
             draining: false,
@@ -138,8 +138,8 @@
             wants_traffic: false,
             maintenance: false,
             successor: None,
-            reported_resources: Room::default(),
-            predecessor_resources: Room::default(),
+            reported_resources: PredecessorResources::default(),
+            predecessor_resources: PredecessorResources::default(),
             orphaned_runs: None,
             predecessor_keys: HashMap::new(),
             finished: None,
@@ -206,7 +206,7 @@
             Input::Anomaly(anomaly) => self.count_anomaly(anomaly),
             Input::Replication(id, news) => self.replication_update(id, news),
             Input::HandOver(successor) => self.hand_over(successor),
-            Input::FromPredecessor(handed) => self.take_over(handed),
+            Input::FromPredecessor(handed) => self.receive_handover(handed),
             Input::PredecessorEnded => self.predecessor_ended(),
             Input::Finish(finished) => self.finished = Some(finished),
             Input::ApplySettings(site) => self.apply_settings(*site),
@@ -228,7 +228,7 @@
             Timer::Wake => {
                 let now = self.clock.now();
                 self.receipts.timer_was_late(now - self.next_wake_at);
-                self.transitions.look(now, &self.controller.limits());
+                self.transitions.log_changes(now, &self.controller.limits());
                 self.request_gauges();
                 self.report_resources();
             }
--- a/src/exchange/entry.rs
+++ b/src/exchange/entry.rs
@@ -47,7 +47,7 @@
     Running,
     AwaitingCall(PendingCall),
     /// It has run, and its result is copied ahead of its answer.
-    Replicating(claims::Result),
+    Replicating(claims::UnreplicatedResult),
 }
 
 /// The call that a run waits for.
--- a/src/exchange/handed.rs
+++ b/src/exchange/handed.rs
@@ -5,18 +5,20 @@
 
 /// One thing that is handed over. All keys come ahead of the turn; behind it come those whose standing has changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Handed {
+pub enum HandoverMessage {
     /// A key, as it stands now.
-    Key(HandedKey),
+    Key(HandedOverKey),
     /// From here on the next process serves.
-    Turn(Turn),
+    #[serde(rename = "Turn")]
+    StartServing(StartServing),
     /// Behind the turn, what the requests that stay over there take by now.
-    Room(Room),
+    #[serde(rename = "Room")]
+    Resources(PredecessorResources),
 }
 
 /// Room of the node that requests take which stay with the process before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Room {
+pub struct PredecessorResources {
     /// Memory that is booked for them, in kB.
     pub booked_kb: f64,
     /// Those that are on the cores or at calls, from which they come back.
@@ -29,7 +31,7 @@
 
 /// A key that tries of one request bear.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct HandedKey {
+pub struct HandedOverKey {
     /// The name of its class.
     pub class: String,
     /// The key.
@@ -43,12 +45,13 @@
     #[serde(default)]
     pub left_ms: Option<f64>,
     /// What has come of it.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub state: HandedOverState,
 }
 
 /// What has come of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum HandedOverState {
     /// Held or running over there.
     Open,
     /// Over, with this result.
@@ -61,12 +64,12 @@
 
 /// What the next process needs beside the keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Turn {
+pub struct StartServing {
     /// What bodies are shortened with.
     pub seed: u64,
     /// What the requests that stay over there take.
     #[serde(flatten)]
-    pub room: Room,
+    pub resources: PredecessorResources,
     /// Whether the node has been told to send clients away, at the door and in the store.
     pub standby: bool,
     /// The same in the store.
--- a/src/exchange/inquiry.rs
+++ b/src/exchange/inquiry.rs
@@ -34,7 +34,7 @@
 
 impl Exchange {
     /// Nobody waits for the end of this run any more: it is asked about in time.
-    pub(super) fn await_end(&mut self, id: RequestId) {
+    pub(super) fn schedule_inquiry(&mut self, id: RequestId) {
         let now = self.clock.now();
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.inquiry.is_none()) else { return };
         let deadline_ms = self.site.settings.classes[entry.class].deadline_ms;
--- a/src/exchange/intake.rs
+++ b/src/exchange/intake.rs
@@ -5,7 +5,7 @@
 use super::core::Exchange;
 use super::entry::{Entry, Phase, Timer};
 use super::idempotency::Key;
-use super::lifecycle::FAILSAFE_MS;
+use super::lifecycle::FAILSAFE_MARGIN_MS;
 use super::time::millis;
 use super::types::{Anomaly, Answer, IncomingRequest, Origin, ReplyTo};
 use crate::clock::wall_ms;
@@ -13,7 +13,7 @@
 use crate::interface::{Effect, Event, Request, RequestId};
 
 /// A request that is due sooner than this when it is read is refused at once, in ms: no run would end in time.
-const HOPELESS_MS: f64 = 2.0 * FAILSAFE_MS;
+const HOPELESS_MS: f64 = 2.0 * FAILSAFE_MARGIN_MS;
 
 /// When a request came, by the exchange's clock, in ms.
 struct Arrival {
--- a/src/exchange/lifecycle.rs
+++ b/src/exchange/lifecycle.rs
@@ -14,7 +14,7 @@
 use crate::logic::Controller;
 
 /// How long before a request is due it is answered whatever the decision module does, in ms.
-pub(super) const FAILSAFE_MS: f64 = 20.0;
+pub(super) const FAILSAFE_MARGIN_MS: f64 = 20.0;
 /// How much sooner than its process is stopped a node is done with all requests, in ms.
 const STOP_MARGIN_MS: f64 = 250.0;
 /// A class that was dropped is served for this long still: front ends hear of it a second or two late.
@@ -33,12 +33,12 @@
         self.grace_ends = self.grace_ends.min(self.clock.now() + self.site.settings.drain_grace_ms);
         self.update_status();
         if self.processor_is_up {
-            self.stop_by(self.clock.now() + (stop_in_ms - STOP_MARGIN_MS).max(0.0));
+            self.answer_all_by(self.clock.now() + (stop_in_ms - STOP_MARGIN_MS).max(0.0));
         }
     }
 
     /// Has all that is open answered by then, however long its callers would wait.
-    pub(super) fn stop_by(&mut self, stop_at: f64) {
+    pub(super) fn answer_all_by(&mut self, stop_at: f64) {
         // A further notice does not put the stop off.
         let stop_at = self.stop_at.min(stop_at);
         self.stop_at = stop_at;
@@ -54,7 +54,7 @@
 
     /// How long the failsafe of a request that is due then has to wait.
     pub(super) fn failsafe_delay(&self, due: f64) -> Duration {
-        span(due - FAILSAFE_MS - self.clock.now())
+        span(due - FAILSAFE_MARGIN_MS - self.clock.now())
     }
 
     /// Works on under new settings. Callers hear of them later than the node: for a while a class that was
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -34,8 +34,8 @@
 
 pub use self::core::Exchange;
 pub use catalog::Catalog;
-pub use claims::Copying;
-pub use handed::{Handed, HandedKey, Room, Standing, Turn};
+pub use claims::ReplicationChannel;
+pub use handed::{HandedOverKey, HandedOverState, HandoverMessage, PredecessorResources, StartServing};
 pub use types::{
     Anomaly, Answer, Call, Command, IncomingRequest, Input, NodeStatus, Origin, Reply, ReplyTo, TryId,
 };
--- a/src/exchange/runs.rs
+++ b/src/exchange/runs.rs
@@ -37,7 +37,7 @@
                 let lasts_ms = (until - self.clock.now()).max(0.0) + class.deadline_ms;
                 self.timers.insert(Timer::KeyExpiry(key.clone(), id), span(lasts_ms));
                 if let (Some(_), Key::Operation(_, operation)) = (&self.replication, &key) {
-                    return self.claim(id, operation);
+                    return self.claim_key(id, operation);
                 }
             }
         }
@@ -62,7 +62,7 @@
     }
 
     /// The end of the window of a run that was received then.
-    pub(super) fn window_end(&self, class: usize, received: f64) -> f64 {
+    pub(super) fn repeat_window_end(&self, class: usize, received: f64) -> f64 {
         received + whole_ms(&self.site.settings, class)
     }
 
--- a/src/exchange/succession.rs
+++ b/src/exchange/succession.rs
@@ -6,7 +6,7 @@
 
 use super::core::Exchange;
 use super::entry::Timer;
-use super::handed::{Handed, HandedKey, Room, Standing, Turn};
+use super::handed::{HandedOverKey, HandedOverState, HandoverMessage, PredecessorResources, StartServing};
 use super::idempotency::{Key, KeyState};
 use super::next_request_id;
 use super::runs::whole_ms;
@@ -21,12 +21,12 @@
 const REMAINS_WINDOW_MS: f64 = 1_000.0;
 
 /// What the gauges have shown since the process before ended.
-pub(super) struct Remains {
+pub(super) struct OrphanedRunEstimate {
     since: f64,
     most: f64,
 }
 
-impl Remains {
+impl OrphanedRunEstimate {
     fn watched_from(now: f64) -> Self {
         Self { since: now, most: 0.0 }
     }
@@ -44,14 +44,14 @@
 
 impl Exchange {
     /// Tells the next process all keys, and that it is to serve from here on.
-    pub(super) fn hand_over(&mut self, successor: mpsc::UnboundedSender<Handed>) {
+    pub(super) fn hand_over(&mut self, successor: mpsc::UnboundedSender<HandoverMessage>) {
         info!("handing over with {} requests open", self.entries.len());
         self.successor = Some(successor);
         let keys: Vec<Key> = self.idempotency.operations().cloned().collect();
         keys.iter().for_each(|key| self.hand_over_key(key));
-        self.tell_successor(Handed::Turn(Turn {
+        self.tell_successor(HandoverMessage::StartServing(StartServing {
             seed: self.idempotency.seed(),
-            room: self.room(),
+            resources: self.room(),
             standby: self.node_status.standby,
             maintenance: self.maintenance,
         }));
@@ -59,20 +59,24 @@
     }
 
     /// What the requests of this process take.
-    fn room(&self) -> Room {
+    fn room(&self) -> PredecessorResources {
         let controller = &self.controller;
-        Room { booked_kb: controller.booked_kb(), runs: controller.runs(), calls: controller.calls() }
+        PredecessorResources {
+            booked_kb: controller.booked_kb(),
+            runs: controller.runs(),
+            calls: controller.calls(),
+        }
     }
 
     /// Tells the next process, where there is one, what is still taken here.
     pub(super) fn report_resources(&mut self) {
         let room = self.room();
         if self.successor.is_some() && std::mem::replace(&mut self.reported_resources, room) != room {
-            self.tell_successor(Handed::Room(room));
+            self.tell_successor(HandoverMessage::Resources(room));
         }
     }
 
-    fn tell_successor(&self, handed: Handed) {
+    fn tell_successor(&self, handed: HandoverMessage) {
         if let Some(successor) = &self.successor {
             // Where it has ended, nobody is left to be told.
             let _ = successor.send(handed);
@@ -83,57 +87,57 @@
     pub(super) fn hand_over_key(&self, key: &Key) {
         let (Some(_), Key::Operation(class, operation)) = (&self.successor, key) else { return };
         let row = self.idempotency.record(key);
-        let standing = match row.map(|row| &row.state) {
-            None => Standing::Free,
-            Some(KeyState::Held | KeyState::Running) => Standing::Open,
-            Some(KeyState::Served(result)) => Standing::Served(result.clone()),
-            Some(KeyState::Failed) => Standing::Failed,
+        let state = match row.map(|row| &row.state) {
+            None => HandedOverState::Free,
+            Some(KeyState::Held | KeyState::Running) => HandedOverState::Open,
+            Some(KeyState::Served(result)) => HandedOverState::Served(result.clone()),
+            Some(KeyState::Failed) => HandedOverState::Failed,
         };
         let now = self.clock.now();
         let received = row.and_then(|row| self.entries.get(&row.holder)).map_or(now, |entry| entry.received);
         // One that is held still may begin over here: its window is that of a run.
         let until = match row.map(|row| row.until) {
             Some(until) if until.is_finite() => until,
-            Some(_) => self.window_end(*class, received),
+            Some(_) => self.repeat_window_end(*class, received),
             None => 0.0,
         };
-        self.tell_successor(Handed::Key(HandedKey {
+        self.tell_successor(HandoverMessage::Key(HandedOverKey {
             class: self.site.classes[*class].clone(),
             operation: operation.to_string(),
             digest: row.map_or(0, |row| row.digest),
             until,
             left_ms: Some((until - now).max(0.0)),
-            standing,
+            state,
         }));
     }
 
     /// Takes what the process before hands over.
-    pub(super) fn take_over(&mut self, handed: Handed) {
+    pub(super) fn receive_handover(&mut self, handed: HandoverMessage) {
         match handed {
-            Handed::Key(key) => self.take_key(key),
-            Handed::Turn(turn) => {
+            HandoverMessage::Key(key) => self.take_key(key),
+            HandoverMessage::StartServing(turn) => {
                 info!("taking over with {} keys", self.idempotency.operations().count());
                 self.idempotency.set_seed(turn.seed);
-                self.predecessor_resources = turn.room;
+                self.predecessor_resources = turn.resources;
                 self.reserve_predecessor_resources();
                 self.node_status.standby = turn.standby;
                 self.maintenance = turn.maintenance;
                 self.update_status();
             }
-            Handed::Room(room) => {
+            HandoverMessage::Resources(room) => {
                 self.predecessor_resources = room;
                 self.reserve_predecessor_resources();
             }
         }
     }
 
-    fn take_key(&mut self, handed: HandedKey) {
-        let HandedKey { class, operation, digest, left_ms, standing, .. } = handed;
+    fn take_key(&mut self, handed: HandedOverKey) {
+        let HandedOverKey { class, operation, digest, left_ms, state, .. } = handed;
         // Where the class is gone nobody can ask for it.
         let Some(class) = self.site.classes.iter().position(|name| *name == class) else { return };
         let key = Key::Operation(class, operation.into());
         let holder = self.predecessor_keys.get(&key).copied();
-        if standing == Standing::Free {
+        if state == HandedOverState::Free {
             if let Some(holder) = holder {
                 self.end_foreign(&key, holder, KeyState::Failed);
                 self.idempotency.expire(&key, holder);
@@ -149,10 +153,10 @@
             self.timers.insert(Timer::KeyExpiry(key.clone(), holder), span(lasts_ms));
             holder
         });
-        match standing {
-            Standing::Served(result) => self.end_foreign(&key, holder, KeyState::Served(result)),
-            Standing::Failed => self.end_foreign(&key, holder, KeyState::Failed),
-            Standing::Open | Standing::Free => {}
+        match state {
+            HandedOverState::Served(result) => self.end_foreign(&key, holder, KeyState::Served(result)),
+            HandedOverState::Failed => self.end_foreign(&key, holder, KeyState::Failed),
+            HandedOverState::Open | HandedOverState::Free => {}
         }
     }
 
@@ -174,12 +178,12 @@
     /// processor go on there: the room that they take is given back as the gauges show that they have ended. Its calls are
     /// given up, as its connections are closed, and linger.
     pub(super) fn predecessor_ended(&mut self) {
-        let Room { booked_kb, runs, calls } = std::mem::take(&mut self.predecessor_resources);
+        let PredecessorResources { booked_kb, runs, calls } = std::mem::take(&mut self.predecessor_resources);
         self.controller.add_lingering_calls(self.clock.now(), calls);
         if runs > 0 {
             warn!("the process before has left {runs} runs with {booked_kb:.0} kB behind");
-            self.predecessor_resources = Room { booked_kb, runs, calls: 0 };
-            self.orphaned_runs = Some(Remains::watched_from(self.clock.now()));
+            self.predecessor_resources = PredecessorResources { booked_kb, runs, calls: 0 };
+            self.orphaned_runs = Some(OrphanedRunEstimate::watched_from(self.clock.now()));
         }
         self.reserve_predecessor_resources();
         for (key, holder) in std::mem::take(&mut self.predecessor_keys) {
@@ -199,7 +203,7 @@
         if left == 0 {
             info!("nothing of the process before is left on the cores");
             self.orphaned_runs = None;
-            self.predecessor_resources = Room::default();
+            self.predecessor_resources = PredecessorResources::default();
         } else {
             self.predecessor_resources.runs = left;
         }
@@ -208,7 +212,7 @@
 
     /// Leaves the decision module the memory, the crowd on the cores and the calls that the process before does not take.
     pub(super) fn reserve_predecessor_resources(&mut self) {
-        let Room { booked_kb, runs, calls } = self.predecessor_resources;
+        let PredecessorResources { booked_kb, runs, calls } = self.predecessor_resources;
         self.controller.set_reserved(ReservedCapacity { booked_kb, runs, calls });
     }
 }
--- a/src/exchange/transitions.rs
+++ b/src/exchange/transitions.rs
@@ -46,7 +46,7 @@
 
 /// What was logged last.
 #[derive(Default)]
-pub(super) struct Transitions {
+pub(super) struct StateChangeLog {
     outlasting: Condition,
     most: OrphanedRuns,
     exhausted: Condition,
@@ -57,9 +57,9 @@
     moved_at: Option<f64>,
 }
 
-impl Transitions {
+impl StateChangeLog {
     /// Logs what has changed since the last look.
-    pub fn look(&mut self, now: f64, limits: &Limits) {
+    pub fn log_changes(&mut self, now: f64, limits: &Limits) {
         self.look_at_outlasting(now, limits);
         match self.exhausted.turn(now, limits.exhausted) {
             Some(Edge::Begins) => warn!(
--- a/src/exchange/types.rs
+++ b/src/exchange/types.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::handed::Handed;
+use super::handed::HandoverMessage;
 use crate::config::Site;
 use crate::interface::{Outcome, RequestId};
 use crate::replication::News;
@@ -280,9 +280,9 @@
     /// What is heard of a claim, or of the copies of a result.
     Replication(RequestId, News),
     /// A further process of this node is ready: it is handed the keys, and told of those that change.
-    HandOver(mpsc::UnboundedSender<Handed>),
+    HandOver(mpsc::UnboundedSender<HandoverMessage>),
     /// The process before hands this over.
-    FromPredecessor(Handed),
+    FromPredecessor(HandoverMessage),
     /// The process before has ended: what it had in hand, and has not told the end of, may have run.
     PredecessorEnded,
     /// Resolves once nothing is open any more and nothing runs.
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -17,7 +17,7 @@
 use tokio::task::{JoinSet, spawn_local};
 use tokio::time::sleep;
 
-use crate::exchange::{Handed, HandedKey, Handle, Input, Room, Turn};
+use crate::exchange::{HandedOverKey, Handle, HandoverMessage, Input, PredecessorResources, StartServing};
 use crate::frame::{receive, send};
 use crate::lease::MOST_DUTIES;
 use crate::lease::pass::{Carried, Passed};
@@ -33,23 +33,23 @@
 #[derive(Serialize, Deserialize)]
 pub enum Said {
     /// A key, as it stands now.
-    Key(HandedKey),
+    Key(HandedOverKey),
     /// From here on the next process serves.
-    Turn(Turn),
+    Turn(StartServing),
     /// Behind the turn, what this process still takes of the node's room.
-    Room(Room),
+    Room(PredecessorResources),
     /// A duty that goes with the session.
     Duty(Box<Carried>),
     /// The session of the node's duties, behind all of them.
     Session(Box<Passed>),
 }
 
-impl From<Handed> for Said {
-    fn from(handed: Handed) -> Self {
+impl From<HandoverMessage> for Said {
+    fn from(handed: HandoverMessage) -> Self {
         match handed {
-            Handed::Key(key) => Self::Key(key),
-            Handed::Turn(turn) => Self::Turn(turn),
-            Handed::Room(room) => Self::Room(room),
+            HandoverMessage::Key(key) => Self::Key(key),
+            HandoverMessage::StartServing(turn) => Self::Turn(turn),
+            HandoverMessage::Resources(room) => Self::Room(room),
         }
     }
 }
@@ -163,14 +163,18 @@
     let mut duties = Vec::new();
     loop {
         match receive::<Said>(from).await {
-            Ok(Some(Said::Key(key))) => exchange.send(Input::FromPredecessor(Handed::Key(key))).await,
+            Ok(Some(Said::Key(key))) => {
+                exchange.send(Input::FromPredecessor(HandoverMessage::Key(key))).await
+            }
             Ok(Some(Said::Turn(of))) => {
-                exchange.send(Input::FromPredecessor(Handed::Turn(of))).await;
+                exchange.send(Input::FromPredecessor(HandoverMessage::StartServing(of))).await;
                 if let Some(turn) = turn.take() {
                     let _ = turn.send(());
                 }
             }
-            Ok(Some(Said::Room(room))) => exchange.send(Input::FromPredecessor(Handed::Room(room))).await,
+            Ok(Some(Said::Room(room))) => {
+                exchange.send(Input::FromPredecessor(HandoverMessage::Resources(room))).await
+            }
             Ok(Some(Said::Duty(duty))) if duties.len() < MOST_DUTIES => duties.push(*duty),
             Ok(Some(Said::Duty(duty))) => warn!("{} is one duty too many", duty.fence.duty),
             Ok(Some(Said::Session(passed))) => {
--- a/src/node.rs
+++ b/src/node.rs
@@ -24,7 +24,7 @@
 use crate::ejection;
 use crate::ejection::holding::Terms as Counted;
 use crate::ejection::list::Shares;
-use crate::exchange::{self, Copying, Handed, Handle, Input};
+use crate::exchange::{self, Handle, HandoverMessage, Input, ReplicationChannel};
 use crate::fleet;
 use crate::fleet::copying::Part;
 use crate::fleet::view::View;
@@ -338,7 +338,7 @@
 
 /// The ends of the channels between the core, its copies and the operator's file.
 struct Copies {
-    core: Option<(Copying, mpsc::UnboundedReceiver<(u32, News)>)>,
+    core: Option<(ReplicationChannel, mpsc::UnboundedReceiver<(u32, News)>)>,
     part: Option<Part>,
     terms: Option<watch::Sender<Terms>>,
     leave: Option<mpsc::Sender<oneshot::Sender<()>>>,
@@ -353,11 +353,11 @@
         let (tells, news) = mpsc::unbounded_channel();
         let (terms, agreed) = watch::channel(table.terms());
         let (leave, leaves) = mpsc::channel(1);
-        let core = Copying {
-            errands: to_copies,
-            claim_ms: table.claim_ms,
-            alone: table.alone.clone(),
-            late: table.late,
+        let core = ReplicationChannel {
+            requests: to_copies,
+            claim_timeout_ms: table.claim_ms,
+            local_only_classes: table.alone.clone(),
+            late_policy: table.late,
         };
         let leave = table.leaves().then_some(leave);
         let part = Part { table, errands, news: tells, terms: agreed, leave: leaves };
@@ -672,7 +672,7 @@
     // What crosses the notice is still this process's, with its key.
     tokio::time::sleep(CROSSES).await;
     reports.abort();
-    let (to_next, mut handed) = mpsc::unbounded_channel::<Handed>();
+    let (to_next, mut handed) = mpsc::unbounded_channel::<HandoverMessage>();
     let (say, said) = mpsc::unbounded_channel();
     let (finish, finished) = oneshot::channel();
     exchange.send(Input::HandOver(to_next)).await;
