--- a/benches/verdicts/main.rs
+++ b/benches/verdicts/main.rs
@@ -12,8 +12,8 @@
 use rand::{Rng, SeedableRng};
 use report::Report;
 use sillflow::ejection::cap::Limits;
-use sillflow::ejection::count::Rules;
-use sillflow::ejection::evidence::{MOST_BYTES, send_every_ms};
+use sillflow::ejection::detection::Rules;
+use sillflow::ejection::evidence::{MAX_BYTES, send_every_ms};
 use world::{Plan, Restart, Seen, Trouble, ZONES, full_message, play};
 
 const NODES: usize = 300;
@@ -202,7 +202,7 @@
 }
 
 fn liars(report: &mut Report) {
-    let liars = Rules::default().liars_of(MACHINES);
+    let liars = Rules::default().max_liars(MACHINES);
     let lying = each(|_| Plan {
         troubles: vec![trouble(vec![ILL], (ILL_AT, f64::MAX), 1.0, 1.0)],
         until: ILL_AT + 120_000.0,
@@ -261,7 +261,7 @@
         report.most(&format!("messages a node, {nodes} nodes beside 10"), messages / first_messages, 1.1);
     }
     let full = postcard::to_stdvec(&full_message()).map_or(f64::INFINITY, |bytes| bytes.len() as f64);
-    report.most("bytes of the longest message", full, MOST_BYTES as f64);
+    report.most("bytes of the longest message", full, MAX_BYTES as f64);
 }
 
 type Part = fn(&mut Report);
--- a/benches/verdicts/world.rs
+++ b/benches/verdicts/world.rs
@@ -10,14 +10,14 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, LogNormal};
 use sillflow::ejection::cap::{Limits, Member};
-use sillflow::ejection::count::Kind::Slow;
-use sillflow::ejection::count::{Outlier, Scope};
+use sillflow::ejection::coordinator::{Coordinator, Policy, Vote};
+use sillflow::ejection::detection::Kind::Slow;
+use sillflow::ejection::detection::{Outlier, Scope};
 use sillflow::ejection::evidence::{
-    Call, Counts, Evidence, Item, Life, MOST_ITEMS, Recorder, Voter, send_every_ms,
+    Call, Counts, Evidence, Item, MAX_ITEMS, Recorder, ServerIncarnation, Voter, send_every_ms,
 };
-use sillflow::ejection::holding::{Holding, Terms, Vote};
-use sillflow::ejection::keeper::Trial;
 use sillflow::ejection::list::{Guard, Share, Stage, Why};
+use sillflow::ejection::list_manager::Trial;
 use sillflow::route::{CallEnd, CallEndKind, Choice, Options, Pool, ServerState, Spec};
 use sillflow::server_stats::StartReport;
 
@@ -171,9 +171,9 @@
     rng: SmallRng,
     nodes: Vec<Node>,
     servers: Vec<Truth>,
-    terms: Terms,
+    terms: Policy,
     ends: BinaryHeap<Reverse<End>>,
-    holding: Holding,
+    holding: Coordinator,
     seen: Seen,
     counted: f64,
 }
@@ -249,13 +249,13 @@
             plan,
             nodes,
             servers,
-            terms: Terms {
+            terms: Policy {
                 members: (0..plan.servers).map(member).collect(),
                 limits: plan.limits,
-                ..Terms::default()
+                ..Policy::default()
             },
             ends: BinaryHeap::new(),
-            holding: Holding::begin(0.0, 1, None),
+            holding: Coordinator::begin(0.0, 1, None),
             seen: Seen { alone: vec![None; plan.nodes], shuns: vec![None; plan.nodes], ..Seen::default() },
             counted: 0.0,
             rng,
@@ -317,7 +317,7 @@
                 match node.guard.share(now, address(server), &node.voter.name, &node.voter.zone) {
                     Share::Part(part) => part,
                     Share::Trial => TRIAL_PART,
-                    Share::Asked => 1.0,
+                    Share::Probed => 1.0,
                 }
             } else {
                 1.0
@@ -345,7 +345,7 @@
             truth.in_hand -= 1;
             let refused = (truth.down.0..truth.down.1).contains(&now);
             let up = now - truth.started;
-            let life = (!end.failed).then_some(Life {
+            let life = (!end.failed).then_some(ServerIncarnation {
                 incarnation: truth.lives,
                 up_ms: up.clamp(0.0, f64::from(u32::MAX)) as u32,
             });
@@ -435,11 +435,11 @@
             self.seen.bytes += postcard::to_stdvec(&evidence).expect("bytes").len() as u64;
             let trials = node.trials.iter().map(|(server, trial)| (*server, *trial)).collect();
             let vote = Vote { voter: node.voter.clone(), life: 1, evidence, trials };
-            self.holding.hear(now, &vote).expect("evidence in form");
-            let asked = self.holding.asked(&node.voter.name);
+            self.holding.receive(now, &vote).expect("evidence in form");
+            let asked = self.holding.probes_for(&node.voter.name);
             if node.asked != asked {
                 node.asked = asked.to_vec();
-                let shares: BTreeMap<_, _> = asked.iter().map(|server| (*server, Share::Asked)).collect();
+                let shares: BTreeMap<_, _> = asked.iter().map(|server| (*server, Share::Probed)).collect();
                 node.pool.iter_mut().for_each(|pool| pool.set_fleet_shares(now, shares.clone()));
             }
             if node.guard.seen() != list.number {
@@ -500,15 +500,15 @@
     let praised = ill.iter().copied().chain((1..servers).filter(|server| !ill.contains(server)));
     std::iter::once(0)
         .chain(praised.filter(|server| *server != 0))
-        .take(MOST_ITEMS.min(20))
+        .take(MAX_ITEMS.min(20))
         .map(item)
         .collect()
 }
 
 /// The bytes of a full message.
 pub fn full_message() -> Evidence {
-    let life = Some(Life { incarnation: u64::MAX, up_ms: u32::MAX });
+    let life = Some(ServerIncarnation { incarnation: u64::MAX, up_ms: u32::MAX });
     let counts = Counts { calls: 10_000, failed: 10_000, timed: 10_000, slow: 10_000 };
     let item = Item { server: address(1), class: 3, life, age_ms: u32::MAX, counts };
-    Evidence { number: u64::MAX, items: vec![item; MOST_ITEMS] }
+    Evidence { number: u64::MAX, items: vec![item; MAX_ITEMS] }
 }
--- a/src/config/verdicts.rs
+++ b/src/config/verdicts.rs
@@ -9,9 +9,9 @@
 
 use super::fault::Fault;
 use super::routes::RecordsTable;
-use crate::ejection::cap::{Limits, Member, Word};
-use crate::ejection::count::Rules;
-use crate::ejection::holding::Terms;
+use crate::ejection::cap::{Limits, Member, OperatorOverride};
+use crate::ejection::coordinator::Policy;
+use crate::ejection::detection::Rules;
 use crate::lease::DutyName;
 
 /// The range of machines that may lie.
@@ -98,23 +98,23 @@
     }
 
     /// What the node that counts holds to, with these servers.
-    pub fn terms(&self, records: &RecordsTable) -> Terms {
+    pub fn terms(&self, records: &RecordsTable) -> Policy {
         let member = |spec: &crate::route::Spec| Member {
             server: spec.address,
             zone: spec.zone.clone(),
             capacity: spec.weight,
             routes: Vec::new(),
         };
-        let always = self.always_in.iter().map(|server| (*server, Word::AlwaysIn));
-        let words: BTreeMap<SocketAddr, Word> =
-            always.chain(self.out_now.iter().map(|server| (*server, Word::OutNow))).collect();
+        let always = self.always_in.iter().map(|server| (*server, OperatorOverride::AlwaysIn));
+        let words: BTreeMap<SocketAddr, OperatorOverride> =
+            always.chain(self.out_now.iter().map(|server| (*server, OperatorOverride::OutNow))).collect();
         let in_work: BTreeSet<SocketAddr> = self.in_work.iter().copied().collect();
-        Terms {
+        Policy {
             members: records.servers.iter().map(member).collect(),
             words,
             in_work,
             limits: self.limits,
-            rules: Rules { liars: self.liars, planted: None },
+            rules: Rules { liars: self.liars, injected_fault: None },
         }
     }
 }
--- a/src/ejection/cap.rs
+++ b/src/ejection/cap.rs
@@ -7,7 +7,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-use super::count::{Outlier, Planted, Rules, Scope};
+use super::detection::{Outlier, RuleFault, Rules, Scope};
 
 /// A server as it may be removed.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,7 +25,7 @@
 /// What an operator says of a server. It goes before votes, and beyond the cap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Word {
+pub enum OperatorOverride {
     /// No vote removes it.
     AlwaysIn,
     /// It is out, whatever votes say.
@@ -56,7 +56,7 @@
 
 /// A server that is out already.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Gone {
+pub struct Ejected {
     /// Which.
     pub server: SocketAddr,
     /// For whom.
@@ -135,9 +135,9 @@
 /// What may go of those that stand out, the worst first.
 pub fn decide(
     members: &[Member],
-    gone: &[Gone],
+    gone: &[Ejected],
     outliers: &[Outlier],
-    words: &BTreeMap<SocketAddr, Word>,
+    words: &BTreeMap<SocketAddr, OperatorOverride>,
     limits: &Limits,
     rules: &Rules,
 ) -> Decision {
@@ -148,10 +148,10 @@
         groups: groups(members),
         capacity: members.iter().map(|member| (member.server, member.capacity)).collect(),
         limits,
-        by_capacity: rules.planted != Some(Planted::CapByNumberOnly),
+        by_capacity: rules.injected_fault != Some(RuleFault::CapByNumberOnly),
     };
     let mut out: Vec<(SocketAddr, Scope)> = gone.iter().map(|one| (one.server, one.scope.clone())).collect();
-    let by_word = words.iter().filter(|(_, word)| **word == Word::OutNow);
+    let by_word = words.iter().filter(|(_, word)| **word == OperatorOverride::OutNow);
     out.extend(by_word.map(|(server, _)| (*server, Scope::Everywhere)));
     let mut standing_out: Vec<(SocketAddr, Scope)> =
         gone.iter().filter(|one| one.recent).map(|one| (one.server, one.scope.clone())).collect();
--- a/src/ejection/holding.rs
+++ b/src/ejection/coordinator.rs
@@ -5,12 +5,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::asking::ask;
-use super::cap::{Limits, Member, Reason, Word, decide};
-use super::count::{Findings, Outlier, Rules, Scope, judge};
-use super::evidence::{Book, Evidence, EvidenceError, SLOT_MS, SLOTS, Voter};
-use super::keeper::{Keeper, Trial};
-use super::list::{List, Listed, Number};
+use super::cap::{Limits, Member, OperatorOverride, Reason, decide};
+use super::detection::{Findings, Outlier, Rules, Scope, evaluate};
+use super::evidence::{Evidence, EvidenceError, EvidenceStore, SLOT_MS, SLOTS, Voter};
+use super::list::{List, ListEntry, Number};
+use super::list_manager::{ListManager, Trial};
+use super::probing::assign_probes;
 
 /// What a server does from so long before an operator says that it is in work until so long after is forgiven, in ms.
 const WORK_BEFORE_MS: f64 = 5_000.0;
@@ -18,11 +18,11 @@
 
 /// What operators set for those that count.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Terms {
+pub struct Policy {
     /// The servers.
     pub members: Vec<Member>,
     /// What is said of some.
-    pub words: BTreeMap<SocketAddr, Word>,
+    pub words: BTreeMap<SocketAddr, OperatorOverride>,
     /// Those that are being worked on.
     pub in_work: BTreeSet<SocketAddr>,
     /// How many may be out.
@@ -46,7 +46,7 @@
 
 /// One voter as the holder heard it last.
 #[derive(Clone, Debug)]
-struct Heard {
+struct LastVote {
     voter: Voter,
     life: u64,
     at: f64,
@@ -54,7 +54,7 @@
 
 /// A server that stands out and stays.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct RetainedOutlier {
     /// What was found.
     pub outlier: Outlier,
     /// Why it stays.
@@ -65,37 +65,37 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Changes {
     /// Lines that are new, or other than they were.
-    pub listed: Vec<Listed>,
+    pub listed: Vec<ListEntry>,
     /// Lines that are gone: the server is back.
-    pub back: Vec<Listed>,
+    pub back: Vec<ListEntry>,
     /// Servers that stand out since now, and stay.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<RetainedOutlier>,
     /// Machines that find most servers bad since now.
     pub ill: Vec<String>,
 }
 
 /// All that a holder has.
 #[derive(Clone, Debug)]
-pub struct Holding {
-    book: Book,
-    keeper: Keeper,
-    heard: BTreeMap<String, Heard>,
+pub struct Coordinator {
+    book: EvidenceStore,
+    keeper: ListManager,
+    heard: BTreeMap<String, LastVote>,
     /// Since when each server is in work, in ms.
     in_work: BTreeMap<SocketAddr, f64>,
     began: f64,
     findings: Findings,
-    kept: Vec<Kept>,
+    kept: Vec<RetainedOutlier>,
     /// Servers that each node is asked to call, and turns so far.
     asked: BTreeMap<String, Vec<SocketAddr>>,
     turns: usize,
 }
 
-impl Holding {
+impl Coordinator {
     /// Begins under a duty's number with the latest list that is known.
     pub fn begin(now: f64, fence: u64, last: Option<&List>) -> Self {
         Self {
-            book: Book::default(),
-            keeper: Keeper::begin(now, fence, last),
+            book: EvidenceStore::default(),
+            keeper: ListManager::begin(now, fence, last),
             heard: BTreeMap::new(),
             in_work: BTreeMap::new(),
             began: now,
@@ -117,7 +117,7 @@
     }
 
     /// Servers that stand out and stay.
-    pub fn kept(&self) -> &[Kept] {
+    pub fn kept(&self) -> &[RetainedOutlier] {
         &self.kept
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Servers that a node is asked to call: of these more is to be known.
-    pub fn asked(&self, node: &str) -> &[SocketAddr] {
+    pub fn probes_for(&self, node: &str) -> &[SocketAddr] {
         self.asked.get(node).map_or(&[], Vec::as_slice)
     }
 
@@ -146,28 +146,28 @@
     ///
     /// # Errors
     /// Nothing of its evidence counts, for the reason given.
-    pub fn hear(&mut self, now: f64, vote: &Vote) -> Result<(), EvidenceError> {
+    pub fn receive(&mut self, now: f64, vote: &Vote) -> Result<(), EvidenceError> {
         let Vote { voter, life, evidence, trials } = vote;
         if self.heard.get(&voter.name).is_some_and(|heard| heard.life != *life) {
-            self.book.reborn(&voter.name);
+            self.book.reset_sequence(&voter.name);
         }
         self.book.take(now, voter, evidence)?;
-        let heard = Heard { voter: voter.clone(), life: *life, at: now };
+        let heard = LastVote { voter: voter.clone(), life: *life, at: now };
         self.heard.insert(voter.name.clone(), heard);
-        trials.iter().for_each(|(server, trial)| self.keeper.tried(*server, &voter.name, *trial));
+        trials.iter().for_each(|(server, trial)| self.keeper.record_trial(*server, &voter.name, *trial));
         Ok(())
     }
 
     /// Counts, and moves the list on. Those heard in the last `within` ms may try servers.
-    pub fn turn(&mut self, now: f64, terms: &Terms, within: f64) -> Changes {
+    pub fn turn(&mut self, now: f64, terms: &Policy, within: f64) -> Changes {
         let (before, ill) = (self.keeper.list(), self.findings.ill.clone());
-        self.forgive(now, &terms.in_work);
+        self.exempt(now, &terms.in_work);
         self.book.expire(now);
-        self.keeper.words(now, terms.words.clone());
-        self.findings = judge(&self.book, now, &terms.rules);
+        self.keeper.set_overrides(now, terms.words.clone());
+        self.findings = evaluate(&self.book, now, &terms.rules);
         let outliers = &self.findings.outliers;
-        self.keeper.relapse(now, outliers);
-        let gone = self.keeper.gone(now);
+        self.keeper.eject_relapsed(now, outliers);
+        let gone = self.keeper.ejected(now);
         let decision = decide(&terms.members, &gone, outliers, &terms.words, &terms.limits, &terms.rules);
         // No evidence removes twice.
         for Outlier { server, scope, .. } in &decision.remove {
@@ -187,32 +187,33 @@
         // Of those that operators have spoken on, and of those on their way back, nothing hangs on it.
         let listed = self.keeper.list();
         let settled = |server| {
-            let known = |one: &Listed| one.server == server && one.scope == Scope::Everywhere;
+            let known = |one: &ListEntry| one.server == server && one.scope == Scope::Everywhere;
             terms.words.contains_key(&server) || listed.entries.iter().any(known)
         };
-        self.findings.doubts.retain(|doubt| !settled(doubt.server));
-        self.asked = ask(&self.findings.doubts, &near, self.turns);
-        let kept = decision.kept.into_iter().map(|(outlier, reason)| Kept { outlier, reason });
+        self.findings.suspects.retain(|doubt| !settled(doubt.server));
+        self.asked = assign_probes(&self.findings.suspects, &near, self.turns);
+        let kept = decision.kept.into_iter().map(|(outlier, reason)| RetainedOutlier { outlier, reason });
         let kept = std::mem::replace(&mut self.kept, kept.collect());
         self.changes(&before, &kept, &ill)
     }
 
-    fn forgive(&mut self, now: f64, in_work: &BTreeSet<SocketAddr>) {
+    fn exempt(&mut self, now: f64, in_work: &BTreeSet<SocketAddr>) {
         self.in_work.retain(|server, _| in_work.contains(server));
         // What was said before this holder began may have been said long ago.
         let since =
             if now - self.began < SLOT_MS { now - SLOTS as f64 * SLOT_MS } else { now - WORK_BEFORE_MS };
         for server in in_work {
             let since = *self.in_work.entry(*server).or_insert(since);
-            self.book.forgive(*server, since, now + WORK_AFTER_MS);
+            self.book.exempt(*server, since, now + WORK_AFTER_MS);
         }
     }
 
-    fn changes(&self, before: &List, kept: &[Kept], ill: &BTreeSet<String>) -> Changes {
+    fn changes(&self, before: &List, kept: &[RetainedOutlier], ill: &BTreeSet<String>) -> Changes {
         let after = self.keeper.list();
-        let same_line = |one: &Listed, other: &Listed| one.server == other.server && one.scope == other.scope;
-        let stays = |one: &Kept| {
-            let same = |other: &Kept| {
+        let same_line =
+            |one: &ListEntry, other: &ListEntry| one.server == other.server && one.scope == other.scope;
+        let stays = |one: &RetainedOutlier| {
+            let same = |other: &RetainedOutlier| {
                 one.outlier.server == other.outlier.server && one.outlier.scope == other.outlier.scope
             };
             kept.iter().any(same)
--- a/src/ejection/holder.rs
+++ b/src/ejection/coordinator_task.rs
@@ -11,14 +11,14 @@
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout_at};
 
 use super::cap::Reason;
-use super::count::Scope;
+use super::coordinator::{Changes, Coordinator, Vote};
+use super::detection::Scope;
 use super::evidence::{EvidenceError, SLOT_MS};
-use super::holding::{Changes, Holding, Vote};
-use super::latest::Latest;
-use super::list::{List, Listed, Number, Stage, Why};
-use super::part::{Evident, Report, Seat};
+use super::latest_list::LatestList;
+use super::list::{List, ListEntry, Number, Stage, Why};
+use super::participant::{EvidenceSummary, Report, Seat};
 use super::routes::Routed;
-use super::wire::{Answer, Holder, Said, What, say};
+use super::wire::{Answer, Holder, Request, RequestBody, send_request};
 use crate::lease::{Held, Lost};
 
 /// How long the latest list is asked for at the most, before the one that is known is taken up.
@@ -29,7 +29,7 @@
 /// The count while this node has the duty.
 pub(super) struct Counting {
     held: Rc<Held>,
-    holding: Holding,
+    holding: Coordinator,
 }
 
 impl Counting {
@@ -39,9 +39,9 @@
     }
 
     /// Takes what a voter says, and answers it. It has the list of this number.
-    pub(super) fn hear(&mut self, now: f64, vote: &Vote, have: Number) -> Answer {
+    pub(super) fn receive(&mut self, now: f64, vote: &Vote, have: Number) -> Answer {
         let voter = &vote.voter;
-        match self.holding.hear(now, vote) {
+        match self.holding.receive(now, vote) {
             // It came already, and the answer was lost.
             Ok(()) | Err(EvidenceError::Again { .. }) => {}
             Err(problem) => {
@@ -52,14 +52,14 @@
         let number = self.holding.number();
         let list = (have != number).then(|| self.holding.list());
         let ill = self.holding.ill().contains(&voter.machine);
-        Answer::Counted { number, list, ill, asked: self.holding.asked(&voter.name).to_vec() }
+        Answer::Counted { number, list, ill, asked: self.holding.probes_for(&voter.name).to_vec() }
     }
 
     /// Adds what only the one that counts can show.
     pub(super) fn show(&self, now: f64, within: f64, report: &mut Report) {
         let (voters, newest) = self.holding.voters(now, within);
         report.counts = self.may();
-        report.evidence = Some(Evident { voters, newest_ms: newest.map(|ms| ms as u64) });
+        report.evidence = Some(EvidenceSummary { voters, newest_ms: newest.map(|ms| ms as u64) });
         report.kept = self.holding.kept().to_vec();
         report.ill_machines = self.holding.ill().iter().cloned().collect();
     }
@@ -95,12 +95,12 @@
 async fn count(seat: &Rc<Seat>, held: &Rc<Held>) -> Result<(), Lost> {
     let fence = held.check()?.number;
     // The duty itself vouches for this node.
-    seat.go_by(Holder { fence, name: seat.options.name.clone() });
+    seat.accept_holder(Holder { fence, name: seat.options.name.clone() });
     let last = gather(seat, held).await;
     held.check()?;
     let told = last.as_ref().map(|list| (list.number.fence, list.number.sequence, list.entries.len()));
     info!("verdicts: this node counts under number {fence}, from list {told:?}");
-    let holding = Holding::begin(seat.now(), fence, last.as_ref());
+    let holding = Coordinator::begin(seat.now(), fence, last.as_ref());
     seat.counting.replace(Some(Counting { held: held.clone(), holding }));
     tokio::select! {
         () = turns(seat, held) => {}
@@ -165,7 +165,7 @@
 async fn gather(seat: &Rc<Seat>, held: &Held) -> Option<List> {
     let handed: Option<Number> = serde_json::from_slice(held.state()).ok();
     let own = seat.list_above(Number::default());
-    let mut latest = Latest::new(held.fence().number, seat.liars(), own);
+    let mut latest = LatestList::new(held.fence().number, seat.liars(), own);
     let mut left = VecDeque::from(seat.names());
     let mut asked = JoinSet::new();
     let until = Instant::now() + GATHER;
@@ -175,7 +175,7 @@
             break;
         }
         match timeout_at(until, asked.join_next()).await {
-            Ok(Some(Ok(Some((machine, list))))) => latest.hear(&machine, list),
+            Ok(Some(Ok(Some((machine, list))))) => latest.receive(&machine, list),
             Ok(Some(_)) => {}
             Ok(None) | Err(_) => break,
         }
@@ -205,8 +205,12 @@
 /// Says to one who counts; the list that it has, where that is a higher one.
 async fn tell_one(seat: Rc<Seat>, fence: u64, name: String, best: Number) -> Told {
     let node = seat.node(&name)?;
-    let said = Said { from: seat.options.name.clone(), life: seat.life, what: What::Holds { fence, best } };
-    match say(seat.address_of(&node), seat.from(), &said).await {
+    let said = Request {
+        from: seat.options.name.clone(),
+        life: seat.life,
+        what: RequestBody::Holds { fence, best },
+    };
+    match send_request(seat.address_of(&node), seat.from(), &said).await {
         Ok(Answer::Known(list)) => Some((node.applicant.machine, list?)),
         Ok(Answer::Passed(seen)) => {
             warn!("verdicts: {name} has seen number {seen}, past {fence}");
@@ -225,7 +229,7 @@
 
 /// One line of the log a change.
 fn tell(changes: &Changes) {
-    for Listed { server, scope, stage, times, why, .. } in &changes.listed {
+    for ListEntry { server, scope, stage, times, why, .. } in &changes.listed {
         let whom = whom(scope);
         let stage = match stage {
             Stage::Out => "out".to_owned(),
@@ -240,7 +244,7 @@
             Why::Operator => info!("verdicts: {server} is {stage} for {whom}: an operator says so"),
         }
     }
-    for Listed { server, scope, .. } in &changes.back {
+    for ListEntry { server, scope, .. } in &changes.back {
         info!("verdicts: {server} is in again for {}", whom(scope));
     }
     for kept in &changes.kept {
--- a/src/ejection/count.rs
+++ b/src/ejection/detection.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use statrs::distribution::{ContinuousCDF, Normal};
 
-use super::evidence::{Book, CLASSES, Counts, Entry};
+use super::evidence::{CLASSES, Counts, Entry, EvidenceStore};
 use super::sequential::{Wealth, bar, bet, contribution, doubt, most_of, pooled};
 
 /// A test begins in each slot and is looked at when it is so many slots old.
@@ -80,7 +80,7 @@
 
 /// An error that is planted to see that tests find it. Nothing but tests sets one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum RuleFault {
     /// Each voter of a machine counts for itself.
     OneVoterTwice,
     /// Those that have no evidence count as having found the server good.
@@ -97,22 +97,22 @@
     /// How many machines may lie; without it one in 32, and at least one.
     pub liars: Option<usize>,
     /// For tests alone.
-    pub planted: Option<Planted>,
+    pub injected_fault: Option<RuleFault>,
 }
 
 impl Rules {
     /// How many of so many machines may lie.
-    pub fn liars_of(&self, machines: usize) -> usize {
+    pub fn max_liars(&self, machines: usize) -> usize {
         self.liars.unwrap_or((machines / MACHINES_A_LIAR).max(1))
     }
 
-    fn has(&self, planted: Planted) -> bool {
-        self.planted == Some(planted)
+    fn has(&self, planted: RuleFault) -> bool {
+        self.injected_fault == Some(planted)
     }
 }
 
 /// How many machines must find a server bad beside those that may lie: twice as many and one, and three at least.
-pub fn least_voters(liars: usize) -> usize {
+pub fn min_voters(liars: usize) -> usize {
     (2 * liars + 1).max(3)
 }
 
@@ -139,7 +139,7 @@
 
 /// A server that may be worse than the pool: the evidence does not suffice, and more of it tells sooner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Doubt {
+pub struct Suspect {
     /// Which.
     pub server: SocketAddr,
     /// The zone from where it is most in doubt; none where that is all together.
@@ -158,7 +158,7 @@
     /// Those that are worse, one line a server and scope.
     pub outliers: Vec<Outlier>,
     /// Those that may be, the worst first.
-    pub doubts: Vec<Doubt>,
+    pub suspects: Vec<Suspect>,
     /// Machines that find most servers bad: they are the case themselves and count for nothing.
     pub ill: BTreeSet<String>,
 }
@@ -179,11 +179,11 @@
 }
 
 impl Electorate {
-    fn new(book: &Book, rules: &Rules) -> Self {
+    fn new(book: &EvidenceStore, rules: &Rules) -> Self {
         let (mut units, mut unit_of, mut zones) = (Vec::new(), Vec::new(), Vec::<String>::new());
         let mut known = BTreeMap::new();
         for voter in &book.voters {
-            let whole = if rules.has(Planted::OneVoterTwice) { &voter.name } else { &voter.machine };
+            let whole = if rules.has(RuleFault::OneVoterTwice) { &voter.name } else { &voter.machine };
             let unit = *known.entry(whole.clone()).or_insert_with(|| {
                 let zone = zones.iter().position(|zone| *zone == voter.zone).unwrap_or_else(|| {
                     zones.push(voter.zone.clone());
@@ -194,13 +194,13 @@
             });
             unit_of.push(unit);
         }
-        let liars = rules.liars_of(units.len());
+        let liars = rules.max_liars(units.len());
         Self { units, unit_of, zones, liars }
     }
 
     /// The most that one unit may add.
     fn most(&self) -> f64 {
-        most_of(least_voters(self.liars), self.liars)
+        most_of(min_voters(self.liars), self.liars)
     }
 }
 
@@ -239,7 +239,7 @@
     let Some((current, start)) = current else { return true };
     match entry.life {
         Some((life, _)) => life == current,
-        None => entry.slot >= Book::slot(start),
+        None => entry.slot >= EvidenceStore::slot(start),
     }
 }
 
@@ -259,12 +259,12 @@
 }
 
 /// What the evidence comes to now.
-pub fn judge(book: &Book, now: f64, rules: &Rules) -> Findings {
+pub fn evaluate(book: &EvidenceStore, now: f64, rules: &Rules) -> Findings {
     let electorate = Electorate::new(book, rules);
     let units = electorate.units.len();
     let sheets = book.servers.iter().map(|(server, shelf)| {
         let all = &shelf.entries;
-        let life = if rules.has(Planted::LivesMixed) { None } else { current_life(all, &electorate) };
+        let life = if rules.has(RuleFault::LivesMixed) { None } else { current_life(all, &electorate) };
         let held_to = |entry: &&Entry| counts_for(entry, life) && !book.forgiven(*server, entry.slot);
         let entries: Vec<&Entry> = all.iter().filter(held_to).collect();
         Sheet { server: *server, next: entries.len(), entries, by_unit: vec![Tally::default(); units] }
@@ -274,15 +274,15 @@
     let mut count = Count { electorate, rules, sheets, totals, ill: vec![false; units] };
     let mut findings = Findings::default();
     let mut found: BTreeMap<(SocketAddr, Scope), Outlier> = BTreeMap::new();
-    let mut doubts: BTreeMap<SocketAddr, Doubt> = BTreeMap::new();
+    let mut suspects: BTreeMap<SocketAddr, Suspect> = BTreeMap::new();
     for span in SPANS {
-        let from = Book::slot(now).saturating_sub(span - 1);
+        let from = EvidenceStore::slot(now).saturating_sub(span - 1);
         count.reach_back(from);
         count.find_ill();
         for kind in [Kind::Failing, Kind::Slow] {
             let (outliers, doubted) = count.outliers(kind, span, from);
             for one in doubted {
-                let known = doubts.entry(one.server).or_insert(one.clone());
+                let known = suspects.entry(one.server).or_insert(one.clone());
                 if one.evidence > known.evidence {
                     *known = one;
                 }
@@ -301,9 +301,9 @@
     let everywhere: BTreeSet<SocketAddr> =
         found.keys().filter(|(_, scope)| *scope == Scope::Everywhere).map(|(server, _)| *server).collect();
     found.retain(|(server, scope), _| *scope == Scope::Everywhere || !everywhere.contains(server));
-    doubts.retain(|server, _| !found.keys().any(|(known, _)| known == server));
-    findings.doubts = doubts.into_values().collect();
-    findings.doubts.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
+    suspects.retain(|server, _| !found.keys().any(|(known, _)| known == server));
+    findings.suspects = suspects.into_values().collect();
+    findings.suspects.sort_by(|a, b| b.evidence.total_cmp(&a.evidence));
     findings.outliers = found.into_values().collect();
     findings
 }
@@ -397,31 +397,31 @@
     }
 
     /// Those that are worse than the pool, and those that may be.
-    fn outliers(&self, kind: Kind, span: u64, from: u64) -> (Vec<Outlier>, Vec<Doubt>) {
+    fn outliers(&self, kind: Kind, span: u64, from: u64) -> (Vec<Outlier>, Vec<Suspect>) {
         let liars = self.electorate.liars;
-        let needed = least_voters(liars) + liars;
+        let needed = min_voters(liars) + liars;
         let voices =
             |sheet: &Sheet| self.heard().filter(|unit| kind.of(&whole(&sheet.by_unit[*unit])).0 > 0).count();
         // Where only liars may have found it bad: most servers cost nothing further.
         let mut doubtful =
             self.sheets.iter().map(|sheet| (sheet, voices(sheet))).filter(|one| one.1 > liars).peekable();
-        let (mut outliers, mut doubts) = (Vec::new(), Vec::new());
+        let (mut outliers, mut suspects) = (Vec::new(), Vec::new());
         if doubtful.peek().is_none() {
-            return (outliers, doubts);
+            return (outliers, suspects);
         }
         let pool = self.pool(kind);
         for (sheet, voices) in doubtful {
             let votes = self.votes(sheet, kind, &pool);
             // Calls that are asked for are load: what is slow is not made slower to prove it.
             if kind == Kind::Failing {
-                doubts.extend(self.doubt(sheet, &votes, needed));
+                suspects.extend(self.doubt(sheet, &votes, needed));
             }
             // With fewer the bar is out of reach.
             if voices >= needed {
                 outliers.extend(self.scopes(sheet, kind, span, from, &votes));
             }
         }
-        (outliers, doubts)
+        (outliers, suspects)
     }
 
     fn zone_of(&self, unit: usize) -> usize {
@@ -438,7 +438,7 @@
 
     /// Whether all, or those of a zone, may find a server worse. What is asked for then depends on the past alone, so
     /// that each call that follows is bad with the chance that the test allows.
-    fn doubt(&self, sheet: &Sheet, votes: &[(usize, Wealth)], needed: usize) -> Option<Doubt> {
+    fn doubt(&self, sheet: &Sheet, votes: &[(usize, Wealth)], needed: usize) -> Option<Suspect> {
         let zones = 0..self.electorate.zones.len();
         let of_zone = |zone| (Some(zone), self.sum(votes, &|of| of == zone));
         let all = (None, self.sum(votes, &|_| true));
@@ -451,7 +451,7 @@
         let most = self.electorate.most();
         let full = votes.iter().filter(|(_, wealth)| wealth.iter().any(|log| *log >= most));
         let full = full.map(|(unit, _)| self.electorate.units[*unit].machine.clone()).collect();
-        Some(Doubt { server: sheet.server, zone, evidence, full, needed })
+        Some(Suspect { server: sheet.server, zone, evidence, full, needed })
     }
 
     /// For whom a server is worse than the pool.
@@ -506,7 +506,7 @@
                 let made = bet(calls, bad, self.allowed(kind, class, unit, sheet, pool));
                 all.iter_mut().zip(made).for_each(|(sum, log)| *sum += log);
             }
-            if !any && self.rules.has(Planted::AbstentionsAsGood) {
+            if !any && self.rules.has(RuleFault::AbstentionsAsGood) {
                 (any, all) = (true, bet(LEAST_CALLS, 0, kind.allowed(0.0)));
             }
             any.then(|| (unit, contribution(&all, most)))
--- a/src/ejection/evidence.rs
+++ b/src/ejection/evidence.rs
@@ -14,9 +14,9 @@
 /// Classes that are told apart; all further ones are counted with the last.
 pub const CLASSES: usize = 4;
 /// Items of one message at the most.
-pub const MOST_ITEMS: usize = 64;
+pub const MAX_ITEMS: usize = 64;
 /// Bytes of a message at the most, by what its items can come to.
-pub const MOST_BYTES: usize = 4096;
+pub const MAX_BYTES: usize = 4096;
 /// Calls that an item may claim.
 const MOST_CALLS: u32 = 10_000;
 /// Evidence that waits to be sent is bounded by this many items, and dropped by age alone: what is dropped by what it
@@ -24,7 +24,7 @@
 const MOST_WAITING: usize = 1024;
 /// Entries that the counting node keeps of one server, and of one voter's among them: a liar that floods the book
 /// drives out nobody else's.
-const MOST_ENTRIES: usize = 65_536;
+const MAX_ENTRIES: usize = 65_536;
 const MOST_OF_VOTER: u32 = 1_024;
 /// Voters that it knows, in all.
 const MOST_VOTERS: usize = 4_096;
@@ -75,7 +75,7 @@
 
 /// One start of a server's process, as it told the voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Life {
+pub struct ServerIncarnation {
     /// A word that changes with each start.
     pub incarnation: u64,
     /// How long before the call it had started, in ms.
@@ -90,7 +90,7 @@
     /// The class of the calls.
     pub class: u8,
     /// The start of it that was called, where it told.
-    pub life: Option<Life>,
+    pub life: Option<ServerIncarnation>,
     /// How long ago the calls ended when this was sent, in ms of the voter's clock.
     pub age_ms: u32,
     /// What they showed.
@@ -110,7 +110,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EvidenceError {
     /// There is too much of it.
-    #[error("{0} items are over {MOST_ITEMS}")]
+    #[error("{0} items are over {MAX_ITEMS}")]
     Long(usize),
     /// Counts that no calls come to.
     #[error("{server}: {counts:?} cannot be")]
@@ -145,7 +145,7 @@
     /// # Errors
     /// Names the first thing that cannot be.
     pub fn check(&self) -> Result<(), EvidenceError> {
-        if self.items.len() > MOST_ITEMS {
+        if self.items.len() > MAX_ITEMS {
             return Err(EvidenceError::Long(self.items.len()));
         }
         for Item { server, counts, .. } in &self.items {
@@ -166,7 +166,7 @@
     /// Its class.
     pub class: u8,
     /// Which start of the server answered.
-    pub life: Option<Life>,
+    pub life: Option<ServerIncarnation>,
     /// Whether it failed.
     pub failed: bool,
     /// Time for a unit of work, in ms; absent where that is not known.
@@ -217,7 +217,7 @@
 /// What a voter notes until it is sent.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
-    waiting: BTreeMap<Key, (Option<Life>, Counts)>,
+    waiting: BTreeMap<Key, (Option<ServerIncarnation>, Counts)>,
     beside: [Beside; CLASSES],
     number: u64,
 }
@@ -255,8 +255,8 @@
             class: 0,
             incarnation: None,
         });
-        let mut items = Vec::with_capacity(self.waiting.len().min(MOST_ITEMS));
-        while items.len() < MOST_ITEMS {
+        let mut items = Vec::with_capacity(self.waiting.len().min(MAX_ITEMS));
+        while items.len() < MAX_ITEMS {
             let Some((key, (life, counts))) = self.waiting.pop_first() else { break };
             let age_ms = (now - key.slot as f64 * SLOT_MS).clamp(0.0, f64::from(u32::MAX)) as u32;
             items.push(Item { server: key.server, class: key.class, life, age_ms, counts });
@@ -310,7 +310,7 @@
         *of_voter += 1;
         let place = self.entries.partition_point(|one| one.slot <= entry.slot);
         self.entries.insert(place, entry);
-        if self.entries.len() > MOST_ENTRIES {
+        if self.entries.len() > MAX_ENTRIES {
             self.drop_oldest();
         }
     }
@@ -325,7 +325,7 @@
 
 /// All evidence that counts, as the counting node has it.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct EvidenceStore {
     pub(super) voters: Vec<Voter>,
     /// The highest number of each voter.
     seen: Vec<u64>,
@@ -335,7 +335,7 @@
     grace: HashMap<SocketAddr, (u64, u64)>,
 }
 
-impl Book {
+impl EvidenceStore {
     /// Takes the evidence of a voter.
     ///
     /// # Errors
@@ -381,14 +381,14 @@
     }
 
     /// A voter has begun another life: its numbers start anew, and what the one before it said stays.
-    pub fn reborn(&mut self, name: &str) {
+    pub fn reset_sequence(&mut self, name: &str) {
         if let Some(at) = self.by_name.get(name) {
             self.seen[*at] = 0;
         }
     }
 
     /// What a server does from `from` to `until`, in ms, is not held against it: a planned restart, a release.
-    pub fn forgive(&mut self, server: SocketAddr, from: f64, until: f64) {
+    pub fn exempt(&mut self, server: SocketAddr, from: f64, until: f64) {
         self.grace.insert(server, (slot(from), slot(until)));
     }
 
--- a/src/ejection/latest.rs
+++ b/src/ejection/latest_list.rs
@@ -12,7 +12,7 @@
 
 /// What was told so far.
 #[derive(Clone, Debug)]
-pub struct Latest {
+pub struct LatestList {
     /// The number of the duty: every list before it has a lower one.
     fence: u64,
     /// Machines that have to tell a list alike.
@@ -22,7 +22,7 @@
     of_machine: BTreeMap<String, usize>,
 }
 
-impl Latest {
+impl LatestList {
     /// For a holder under this number, where so many machines may lie. `own` is the list that it has itself.
     pub fn new(fence: u64, liars: usize, own: Option<List>) -> Self {
         let needed = if fault_injection::is_active(InjectedFault::ListUnproved) { 1 } else { liars + 1 };
@@ -30,7 +30,7 @@
     }
 
     /// Hears a list from a node on a machine.
-    pub fn hear(&mut self, machine: &str, list: List) {
+    pub fn receive(&mut self, machine: &str, list: List) {
         if list.number.fence >= self.fence {
             return;
         }
--- a/src/ejection/list.rs
+++ b/src/ejection/list.rs
@@ -6,13 +6,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::cap::Word;
-use super::count::{Kind, Outlier, Scope};
+use super::cap::OperatorOverride;
+use super::detection::{Kind, Outlier, Scope};
 
 /// Entries of a list at the most.
-pub const MOST_ENTRIES: usize = 4096;
+pub const MAX_ENTRIES: usize = 4096;
 /// How long a node that does not hear of the holder keeps to the last list, in ms. Then it acts by its own measure.
-pub const KEEP_MS: f64 = 120_000.0;
+pub const LIST_VALIDITY_MS: f64 = 120_000.0;
 
 /// The number of a list: that of the duty under which it was made, and which one of that.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
 
 /// A server that is listed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListEntry {
     /// Which.
     pub server: SocketAddr,
     /// For whom.
@@ -59,7 +59,7 @@
     /// Why.
     pub why: Why,
     /// What an operator says of it, beside what votes say.
-    pub word: Option<Word>,
+    pub word: Option<OperatorOverride>,
 }
 
 /// A list of removals. It holds as a whole: two are never joined, so that no cap is passed by what two holders removed.
@@ -68,7 +68,7 @@
     /// Its number.
     pub number: Number,
     /// Server by server.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListEntry>,
 }
 
 /// Why a list is not applied.
@@ -86,7 +86,7 @@
     #[error("another list was told as {0:?}")]
     Twice(Number),
     /// There is too much of it.
-    #[error("{0} entries are over {MOST_ENTRIES}")]
+    #[error("{0} entries are over {MAX_ENTRIES}")]
     Long(usize),
 }
 
@@ -98,12 +98,12 @@
     /// Trial calls: this node is one of those that make them.
     Trial,
     /// The whole of it, and calls beside that for evidence: more is to be known of it.
-    Asked,
+    Probed,
 }
 
 /// What a server gets from one node, other than its whole share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Given {
+pub struct ShareAssignment {
     /// How much.
     pub share: Share,
     /// In what trial calls are to find it well.
@@ -112,13 +112,13 @@
     pub times: u32,
 }
 
-impl Given {
+impl ShareAssignment {
     /// What a server gets that is not listed, and that the node is asked to call.
-    pub const ASKED: Self = Self { share: Share::Asked, kind: Kind::Failing, times: 0 };
+    pub const PROBED: Self = Self { share: Share::Probed, kind: Kind::Failing, times: 0 };
 }
 
 /// What all listed servers get from one node.
-pub type Shares = BTreeMap<SocketAddr, Given>;
+pub type Shares = BTreeMap<SocketAddr, ShareAssignment>;
 
 /// What a node has of lists.
 #[derive(Clone, Debug, Default)]
@@ -146,7 +146,7 @@
     /// # Errors
     /// It is not the latest, or cannot be.
     pub fn accept(&mut self, now: f64, list: &List) -> Result<bool, ListError> {
-        if list.entries.len() > MOST_ENTRIES {
+        if list.entries.len() > MAX_ENTRIES {
             return Err(ListError::Long(list.entries.len()));
         }
         if list.number < self.seen {
@@ -179,9 +179,9 @@
         self.list.as_ref().map(|_| now - self.heard)
     }
 
-    /// The list in force; none once the holder was not heard for [`KEEP_MS`].
+    /// The list in force; none once the holder was not heard for [`LIST_VALIDITY_MS`].
     pub fn in_force(&self, now: f64) -> Option<&List> {
-        self.list.as_ref().filter(|_| now - self.heard <= KEEP_MS)
+        self.list.as_ref().filter(|_| now - self.heard <= LIST_VALIDITY_MS)
     }
 
     /// What a server gets from the node of this name and zone.
@@ -207,9 +207,9 @@
     }
 }
 
-impl Listed {
+impl ListEntry {
     /// What the node of this name and zone gives the server; none where the line is not for it.
-    fn given(&self, node: &str, zone: &str) -> Option<Given> {
+    fn given(&self, node: &str, zone: &str) -> Option<ShareAssignment> {
         let touched = match &self.scope {
             Scope::Everywhere => true,
             Scope::Zone(of) => of == zone,
@@ -224,7 +224,7 @@
             Why::Votes(outlier) => outlier.kind,
             Why::Operator => Kind::Failing,
         };
-        touched.then_some(Given { share, kind, times: self.times })
+        touched.then_some(ShareAssignment { share, kind, times: self.times })
     }
 }
 
@@ -235,7 +235,7 @@
             Self::Part(part) if *part == 0.0 => 0.0,
             Self::Trial => 0.001,
             Self::Part(part) => *part,
-            Self::Asked => 1.0,
+            Self::Probed => 1.0,
         }
     }
 }
--- a/src/ejection/keeper.rs
+++ b/src/ejection/list_manager.rs
@@ -5,16 +5,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::cap::{Decision, Gone, Word};
-use super::count::{Outlier, Scope};
-use super::list::{List, Listed, MOST_ENTRIES, Number, Stage, Why};
+use super::cap::{Decision, Ejected, OperatorOverride};
+use super::detection::{Outlier, Scope};
+use super::list::{List, ListEntry, MAX_ENTRIES, Number, Stage, Why};
 use super::sequential::{FALSE_A_RETURN, bet, is_recovered, recovered};
 
 /// How long the first removal lasts at least, in ms; each further one lasts twice as long as the one before, up to the
 /// second.
-pub const OUT_MS: (f64, f64) = (30_000.0, 1_800_000.0);
+pub const EJECTION_MS: (f64, f64) = (30_000.0, 1_800_000.0);
 /// A server that was in for so long starts anew, in ms.
-pub const CALM_MS: f64 = 3_600_000.0;
+pub const RELAPSE_WINDOW_MS: f64 = 3_600_000.0;
 /// Nodes that try a server, and how long before others do, in ms.
 pub const TESTERS: usize = 3;
 /// See [`TESTERS`].
@@ -44,7 +44,7 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    listed: Listed,
+    listed: ListEntry,
     /// When the stage began, in ms.
     since: f64,
     removed: f64,
@@ -59,20 +59,20 @@
 
 /// The list of one holder of the duty.
 #[derive(Clone, Debug)]
-pub struct Keeper {
+pub struct ListManager {
     number: Number,
     held: BTreeMap<Key, Held>,
     past: BTreeMap<Key, Past>,
-    words: BTreeMap<SocketAddr, Word>,
+    words: BTreeMap<SocketAddr, OperatorOverride>,
     /// Turns of testers so far.
     turns: usize,
 }
 
-impl Keeper {
+impl ListManager {
     /// Takes the duty up under its number, with the latest list that is known. What that had removed stays so, and its
     /// times begin anew.
     pub fn begin(now: f64, fence: u64, last: Option<&List>) -> Self {
-        let held = |listed: &Listed| {
+        let held = |listed: &ListEntry| {
             let held = Held {
                 listed: listed.clone(),
                 since: now,
@@ -99,14 +99,14 @@
     pub fn list(&self) -> List {
         let entries = self.held.values().map(|held| {
             let word = self.words.get(&held.listed.server).copied();
-            Listed { word, ..held.listed.clone() }
+            ListEntry { word, ..held.listed.clone() }
         });
         List { number: self.number, entries: entries.collect() }
     }
 
     /// Who is out, for [`super::cap::decide`].
-    pub fn gone(&self, now: f64) -> Vec<Gone> {
-        let gone = |held: &Held| Gone {
+    pub fn ejected(&self, now: f64) -> Vec<Ejected> {
+        let gone = |held: &Held| Ejected {
             server: held.listed.server,
             scope: held.listed.scope.clone(),
             recent: now - held.removed < RECENT_MS,
@@ -115,7 +115,7 @@
     }
 
     /// What operators say now.
-    pub fn words(&mut self, now: f64, words: BTreeMap<SocketAddr, Word>) {
+    pub fn set_overrides(&mut self, now: f64, words: BTreeMap<SocketAddr, OperatorOverride>) {
         if words == self.words {
             return;
         }
@@ -123,12 +123,12 @@
         self.number.sequence += 1;
         let words = &self.words;
         self.held.retain(|(server, _), held| match words.get(server) {
-            Some(Word::AlwaysIn) => false,
-            Some(Word::OutNow) => true,
+            Some(OperatorOverride::AlwaysIn) => false,
+            Some(OperatorOverride::OutNow) => true,
             None => held.listed.why != Why::Operator,
         });
-        for (server, _) in words.iter().filter(|(_, word)| **word == Word::OutNow) {
-            let listed = Listed {
+        for (server, _) in words.iter().filter(|(_, word)| **word == OperatorOverride::OutNow) {
+            let listed = ListEntry {
                 server: *server,
                 scope: Scope::Everywhere,
                 stage: Stage::Out,
@@ -146,13 +146,13 @@
     /// Removes what was decided on. One that stands out again on its way back goes once more.
     pub fn remove(&mut self, now: f64, decision: &Decision) {
         for outlier in &decision.remove {
-            if self.held.len() >= MOST_ENTRIES {
+            if self.held.len() >= MAX_ENTRIES {
                 return;
             }
             let key = (outlier.server, outlier.scope.clone());
-            let past = self.past.get(&key).filter(|past| now - past.back < CALM_MS);
+            let past = self.past.get(&key).filter(|past| now - past.back < RELAPSE_WINDOW_MS);
             let times = past.map_or(0, |past| past.times) + 1;
-            let listed = Listed {
+            let listed = ListEntry {
                 server: outlier.server,
                 scope: outlier.scope.clone(),
                 stage: Stage::Out,
@@ -166,7 +166,7 @@
     }
 
     /// A server on its way back that stands out again goes once more, for longer. `outliers` are all that stand out.
-    pub fn relapse(&mut self, now: f64, outliers: &[Outlier]) {
+    pub fn eject_relapsed(&mut self, now: f64, outliers: &[Outlier]) {
         for outlier in outliers {
             let Some(held) = self.held.get_mut(&(outlier.server, outlier.scope.clone())) else { continue };
             if matches!(held.listed.stage, Stage::Step(_)) {
@@ -177,7 +177,7 @@
     }
 
     /// Takes what a tester's calls have shown since the trial began. A word of any other node counts for nothing.
-    pub fn tried(&mut self, server: SocketAddr, tester: &str, trial: Trial) {
+    pub fn record_trial(&mut self, server: SocketAddr, tester: &str, trial: Trial) {
         for held in self.held.values_mut().filter(|held| held.listed.server == server) {
             let asked =
                 matches!(&held.listed.stage, Stage::Trial(nodes) if nodes.iter().any(|name| name == tester));
@@ -215,7 +215,7 @@
             self.held.remove(&key);
             self.past.insert(key, Past { times, back: now });
         }
-        self.past.retain(|_, past| now - past.back < CALM_MS);
+        self.past.retain(|_, past| now - past.back < RELAPSE_WINDOW_MS);
         while self.past.len() > MOST_REMEMBERED {
             self.past.pop_first();
         }
@@ -252,7 +252,7 @@
     fn next(&self, now: f64) -> Next {
         let been = now - self.since;
         match &self.listed.stage {
-            Stage::Out if been >= out_ms(self.listed.times) => Next::Try,
+            Stage::Out if been >= ejection_ms(self.listed.times) => Next::Try,
             Stage::Trial(nodes) => match self.found(nodes.len()) {
                 Some(true) => Next::Step(STEPS[0]),
                 Some(false) => Next::Again,
@@ -292,6 +292,6 @@
 }
 
 /// How long a server is out that has gone so often in a row, in ms.
-pub fn out_ms(times: u32) -> f64 {
-    (OUT_MS.0 * f64::from(times.saturating_sub(1).min(16)).exp2()).min(OUT_MS.1)
+pub fn ejection_ms(times: u32) -> f64 {
+    (EJECTION_MS.0 * f64::from(times.saturating_sub(1).min(16)).exp2()).min(EJECTION_MS.1)
 }
--- a/src/ejection/door.rs
+++ b/src/ejection/listener.rs
@@ -8,11 +8,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
+use super::coordinator::Vote;
 use super::evidence::Voter;
-use super::holding::Vote;
 use super::list::Number;
-use super::part::Seat;
-use super::wire::{Answer, Holder, PATIENCE, QUESTION_BYTES, Said, What, receive, send};
+use super::participant::Seat;
+use super::wire::{Answer, Holder, MAX_REQUEST_BYTES, REQUEST_TIMEOUT, Request, RequestBody, receive, send};
 use crate::fleet::view::{Applicant, Node};
 use crate::net::accept::{self, Acceptor};
 use crate::net::connect::Stream;
@@ -24,7 +24,7 @@
 pub(super) async fn open(listener: TcpListener, seat: Rc<Seat>) {
     let acceptor = Acceptor::new("votes", listener);
     accept::serve(acceptor, ROOM, move |open, (stream, from)| {
-        open.spawn_local(timeout(PATIENCE, connection(stream, from, seat.clone())));
+        open.spawn_local(timeout(REQUEST_TIMEOUT, connection(stream, from, seat.clone())));
     })
     .await;
 }
@@ -32,13 +32,13 @@
 async fn connection(stream: TcpStream, from: SocketAddr, seat: Rc<Seat>) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut stream = Stream::new(stream);
-    let said: Said = receive(&mut stream, QUESTION_BYTES).await?;
+    let said: Request = receive(&mut stream, MAX_REQUEST_BYTES).await?;
     let answer = answer(&seat, from, said);
     // A list is an effect of the duty: the lease was looked at just now, and whoever gets the list knows its number.
     send(&mut stream, &answer).await
 }
 
-fn answer(seat: &Rc<Seat>, from: SocketAddr, said: Said) -> Answer {
+fn answer(seat: &Rc<Seat>, from: SocketAddr, said: Request) -> Answer {
     // Machine and zone are those of the view, and the name is believed from its address alone.
     let known = seat.node(&said.from).filter(|node| node.applicant.address.ip() == from.ip());
     let Some(node) = known else {
@@ -46,14 +46,14 @@
         return Answer::Refused(format!("{} does not belong to the fleet at {}", said.from, from.ip()));
     };
     match said.what {
-        What::Holds { fence, best } => {
+        RequestBody::Holds { fence, best } => {
             let name = node.applicant.name;
             match seat.hear_of(&name, Holder { fence, name: name.clone() }) {
                 Ok(()) => Answer::Known(seat.list_above(best)),
                 Err(seen) => Answer::Passed(seen),
             }
         }
-        What::Evidence { evidence, trials, have } => {
+        RequestBody::Evidence { evidence, trials, have } => {
             let vote = Vote { voter: voter(&node), life: said.life, evidence, trials };
             count(seat, &vote, have)
         }
@@ -67,7 +67,7 @@
 
 fn count(seat: &Seat, vote: &Vote, have: Number) -> Answer {
     match seat.counting.borrow_mut().as_mut() {
-        Some(counting) if counting.may() => counting.hear(seat.now(), vote, have),
+        Some(counting) if counting.may() => counting.receive(seat.now(), vote, have),
         _ => Answer::Elsewhere(seat.holder().filter(|holder| holder.name != seat.options.name)),
     }
 }
--- a/src/ejection/part.rs
+++ b/src/ejection/participant.rs
@@ -17,16 +17,16 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::sleep;
 
-use super::asking::MOST_ASKED;
-use super::claims::{Claims, Doubted, Heard};
+use super::claims::{ClaimOutcome, Claims, UnverifiedClaim};
+use super::coordinator::{Policy, RetainedOutlier};
+use super::coordinator_task::Counting;
 use super::evidence::{Evidence, send_every_ms};
-use super::holder::Counting;
-use super::holding::{Kept, Terms};
-use super::keeper::Trial;
-use super::kept::{KeepError, KeptGuard};
-use super::list::{Given, List, Listed, Number, Shares};
+use super::list::{List, ListEntry, Number, ShareAssignment, Shares};
+use super::list_manager::Trial;
+use super::persistent_guard::{ApplyError, PersistentGuard};
+use super::probing::MAX_PROBED;
 use super::wire::Holder;
-use super::{door, holder, voter};
+use super::{coordinator_task, listener, voter};
 use crate::fleet::view::{Node, View};
 use crate::lease::expiry::now_ms;
 use crate::lease::{Held, Unproved, Voucher};
@@ -45,7 +45,7 @@
 
 /// What a node notes of its calls, to be sent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Noted {
+pub struct RecordedCalls {
     /// All of them.
     pub evidence: Evidence,
     /// Those to servers that it is to try.
@@ -53,7 +53,7 @@
 }
 
 /// Asks the serving core for what it has noted.
-pub type Asks = mpsc::Sender<oneshot::Sender<Noted>>;
+pub type RecordRequests = mpsc::Sender<oneshot::Sender<RecordedCalls>>;
 
 /// What the part is given.
 pub struct Options {
@@ -68,11 +68,11 @@
     /// Where the number of the latest list is kept.
     pub file: Option<PathBuf>,
     /// What operators set.
-    pub terms: watch::Receiver<Terms>,
+    pub terms: watch::Receiver<Policy>,
     /// The merged table of sites' routes, where there is one.
     pub routes: Option<Arc<InForce>>,
     /// What the serving core has noted.
-    pub asks: Asks,
+    pub asks: RecordRequests,
     /// What the serving core gives the servers.
     pub shares: watch::Sender<Shares>,
     /// What is shown.
@@ -81,7 +81,7 @@
 
 /// What is known of the evidence where it is counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Evident {
+pub struct EvidenceSummary {
     /// Nodes that sent some in the last three periods.
     pub voters: usize,
     /// How long ago the last of it came, in ms.
@@ -97,7 +97,7 @@
     pub holder: Option<Holder>,
     /// The last word that somebody counts which it does not go by, of the last ten minutes.
     #[serde(default)]
-    pub doubted: Option<Doubted>,
+    pub doubted: Option<UnverifiedClaim>,
     /// The number of the list that it follows.
     pub list: Number,
     /// How long ago that was confirmed, in ms; none before the first list.
@@ -105,15 +105,15 @@
     /// Whether the list is in force: not after 120 s without a word of the one that counts.
     pub in_force: bool,
     /// The list.
-    pub entries: Vec<Listed>,
+    pub entries: Vec<ListEntry>,
     /// Whether this machine finds most servers bad, and counts for nothing.
     pub ill: bool,
     /// How long ago its own evidence was counted last, in ms.
     pub evidence_ms: Option<u64>,
     /// The evidence of all, where it counts.
-    pub evidence: Option<Evident>,
+    pub evidence: Option<EvidenceSummary>,
     /// Servers that stand out and stay, where it counts.
-    pub kept: Vec<Kept>,
+    pub kept: Vec<RetainedOutlier>,
     /// Machines that find most servers bad, where it counts.
     pub ill_machines: Vec<String>,
 }
@@ -163,10 +163,10 @@
         asked: RefCell::default(),
         rung: Notify::new(),
     });
-    spawn_local(door::open(listener, seat.clone()));
+    spawn_local(listener::open(listener, seat.clone()));
     spawn_local(voter::vote(seat.clone()));
     match given.await {
-        Ok(given) => holder::hold(seat, given).await,
+        Ok(given) => coordinator_task::hold(seat, given).await,
         // It takes no duties: it votes all the same.
         Err(_) => std::future::pending().await,
     }
@@ -174,10 +174,10 @@
 }
 
 /// The number that was kept. While the folder fails, no list may be applied and nothing is answered.
-async fn open_guard(options: &Options) -> io::Result<KeptGuard> {
+async fn open_guard(options: &Options) -> io::Result<PersistentGuard> {
     let mut said = false;
     loop {
-        match KeptGuard::open(options.file.clone()) {
+        match PersistentGuard::open(options.file.clone()) {
             Ok(guard) => return Ok(guard),
             Err(problem) if problem.is_transient() => {
                 if !said {
@@ -198,14 +198,14 @@
     let why = loop {
         asked += 1;
         match seat.options.voucher.proves(holder.fence, &holder.name).await {
-            Ok(()) => return seat.go_by(holder),
+            Ok(()) => return seat.accept_holder(holder),
             Err(Unproved::Unknown | Unproved::Unheard(_)) if asked < ASKED => sleep(ASKED_AGAIN).await,
             Err(why) => break why,
         }
     };
     let Holder { fence, name } = &holder;
     warn!("verdicts: {teller} says that {name} counts under number {fence}, which is not gone by: {why}");
-    seat.claims.borrow_mut().doubt(seat.now(), Doubted { teller, holder, why });
+    seat.claims.borrow_mut().doubt(seat.now(), UnverifiedClaim { teller, holder, why });
 }
 
 /// How this node's own evidence fares.
@@ -220,7 +220,7 @@
     pub(super) options: Options,
     view: watch::Receiver<View>,
     pub(super) life: u64,
-    guard: RefCell<KeptGuard>,
+    guard: RefCell<PersistentGuard>,
     /// Whether the number of a list could not be kept the last time.
     unkept: Cell<bool>,
     claims: RefCell<Claims>,
@@ -274,10 +274,10 @@
     /// this node did not go by is gone by once the store vouches for it.
     pub(super) fn hear_of(self: &Rc<Self>, teller: &str, holder: Holder) -> Result<(), u64> {
         let seen = self.guard.borrow().guard().seen().fence;
-        match self.claims.borrow_mut().hear(self.now(), seen, teller, &holder) {
-            Heard::Known | Heard::Waits => Ok(()),
-            Heard::Passed(seen) => Err(seen),
-            Heard::New => {
+        match self.claims.borrow_mut().receive(self.now(), seen, teller, &holder) {
+            ClaimOutcome::Known | ClaimOutcome::RateLimited => Ok(()),
+            ClaimOutcome::Superseded(seen) => Err(seen),
+            ClaimOutcome::Unverified => {
                 spawn_local(ask_store(self.clone(), teller.to_owned(), holder));
                 Ok(())
             }
@@ -285,9 +285,9 @@
     }
 
     /// Goes by a holder that the store vouches for, or that is this node.
-    pub(super) fn go_by(&self, holder: Holder) {
+    pub(super) fn accept_holder(&self, holder: Holder) {
         let told = format!("verdicts: {} counts under number {}", holder.name, holder.fence);
-        if self.claims.borrow_mut().go_by(holder) {
+        if self.claims.borrow_mut().accept_holder(holder) {
             info!("{told}");
             self.rung.notify_one();
         }
@@ -297,7 +297,7 @@
     pub(super) fn liars(&self) -> usize {
         let view = self.view.borrow();
         let machines: BTreeSet<&str> = view.nodes().map(|node| node.applicant.machine.as_str()).collect();
-        self.options.terms.borrow().rules.liars_of(machines.len())
+        self.options.terms.borrow().rules.max_liars(machines.len())
     }
 
     /// The number of the list that is in force here; none after a start, before the first list.
@@ -327,7 +327,7 @@
                 info!("verdicts: list {fence}.{sequence} is in force, with {} lines", list.entries.len());
             }
             Ok(false) => {}
-            Err(KeepError::List(problem)) => warn!("verdicts: a list is turned down: {problem}"),
+            Err(ApplyError::List(problem)) => warn!("verdicts: a list is turned down: {problem}"),
             Err(problem) => {
                 if !self.unkept.replace(true) {
                     error!("verdicts: list {fence}.{sequence} and later ones are not applied: {problem}");
@@ -347,8 +347,8 @@
         let guard = self.guard.borrow();
         let guard = guard.guard();
         let mut shares = guard.shares(now, &self.options.name, &self.options.zone);
-        for server in self.asked.borrow().iter().take(MOST_ASKED) {
-            shares.entry(*server).or_insert(Given::ASKED);
+        for server in self.asked.borrow().iter().take(MAX_PROBED) {
+            shares.entry(*server).or_insert(ShareAssignment::PROBED);
         }
         self.options.shares.send_if_modified(|known| {
             let changed = *known != shares;
--- a/src/ejection/kept.rs
+++ b/src/ejection/persistent_guard.rs
@@ -11,7 +11,7 @@
 
 /// Why a list is not applied.
 #[derive(Debug, Error)]
-pub enum KeepError {
+pub enum ApplyError {
     /// It must not be.
     #[error("{0}")]
     List(#[from] ListError),
@@ -22,12 +22,12 @@
 
 /// The guard with its file.
 #[derive(Debug)]
-pub struct KeptGuard {
+pub struct PersistentGuard {
     guard: Guard,
     file: Option<SmallFile>,
 }
 
-impl KeptGuard {
+impl PersistentGuard {
     /// One that reads this file, where there is one; without it, the number ends with the process.
     ///
     /// # Errors
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// It is not the latest, cannot be, or its number cannot be kept.
-    pub fn accept(&mut self, now: f64, list: &List) -> Result<bool, KeepError> {
+    pub fn accept(&mut self, now: f64, list: &List) -> Result<bool, ApplyError> {
         let mut next = self.guard.clone();
         let new = next.accept(now, list)?;
         if let Some(file) = self.file.as_ref().filter(|_| next.seen() != self.guard.seen()) {
--- a/src/ejection/asking.rs
+++ b/src/ejection/probing.rs
@@ -4,11 +4,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use super::count::Doubt;
+use super::detection::Suspect;
 use super::evidence::Voter;
 
 /// Servers that nodes are asked to call at the same time.
-pub const MOST_ASKED: usize = 8;
+pub const MAX_PROBED: usize = 8;
 /// Turns after which others are asked, where there are others: some have no calls to make.
 const TURNS: usize = 8;
 
@@ -16,13 +16,17 @@
 /// the zone from where it is in doubt as many as must by themselves; one node of each, without those whose evidence can
 /// add nothing further. So it costs a bounded number of calls, however large the fleet. `near` are the nodes that are
 /// there.
-pub fn ask(doubts: &[Doubt], near: &[&Voter], turn: usize) -> BTreeMap<String, Vec<SocketAddr>> {
+pub fn assign_probes(
+    suspects: &[Suspect],
+    near: &[&Voter],
+    turn: usize,
+) -> BTreeMap<String, Vec<SocketAddr>> {
     let mut zones: BTreeMap<&str, BTreeMap<&str, &Voter>> = BTreeMap::new();
     for voter in near {
         zones.entry(&voter.zone).or_default().entry(&voter.machine).or_insert(voter);
     }
     let mut asked: BTreeMap<String, Vec<SocketAddr>> = BTreeMap::new();
-    for doubt in doubts.iter().take(MOST_ASKED) {
+    for doubt in suspects.iter().take(MAX_PROBED) {
         for (zone, machines) in &zones {
             let alone = doubt.zone.as_deref() == Some(zone);
             let others = if alone { 1 } else { (zones.len() - 1).max(1) };
--- a/src/ejection/routes.rs
+++ b/src/ejection/routes.rs
@@ -9,7 +9,7 @@
 use crate::route_exchange::merge::{Held, Merged};
 
 /// Sets of servers that are told apart. Where there are more, the smallest count: each of these has the least to lose.
-pub const MOST_SETS: usize = 1024;
+pub const MAX_SETS: usize = 1024;
 
 /// The names of the routes that each server is on. Routes with the same servers are one, under the first name. One that
 /// also has servers which are no members is none: no vote takes those away, so it does not lose its last.
@@ -26,7 +26,7 @@
         }
     });
     let mut routes: BTreeMap<SocketAddr, Vec<String>> = BTreeMap::new();
-    for ((_, servers), Held { from, route, .. }) in sets.into_iter().take(MOST_SETS) {
+    for ((_, servers), Held { from, route, .. }) in sets.into_iter().take(MAX_SETS) {
         let name = format!("{from}/{}", route.name);
         servers.iter().for_each(|server| routes.entry(*server).or_default().push(name.clone()));
     }
--- a/src/ejection/voter.rs
+++ b/src/ejection/voter.rs
@@ -10,15 +10,15 @@
 use tokio::time::sleep;
 
 use super::evidence::Evidence;
-use super::part::{Noted, Seat};
-use super::wire::{Answer, Holder, MOST_TRIALS, Said, What, say};
+use super::participant::{RecordedCalls, Seat};
+use super::wire::{Answer, Holder, MAX_TRIALS, Request, RequestBody, send_request};
 
 /// How far from its period a node sends, so that not all do at once.
 const JITTER: std::ops::Range<f64> = 0.9..1.1;
 
 /// What was taken from the serving core and is not known to be counted.
 struct Pending {
-    noted: Noted,
+    noted: RecordedCalls,
     taken: f64,
 }
 
@@ -50,10 +50,10 @@
         Some(pending) => again(pending, seat.now()),
         None => Pending { noted: ask_core(seat).await?, taken: seat.now() },
     };
-    let Noted { evidence, trials } = pending.noted.clone();
-    let what = What::Evidence { evidence, trials, have: seat.have() };
-    let said = Said { from: seat.options.name.clone(), life: seat.life, what };
-    match say(seat.address_of(&node), seat.from(), &said).await {
+    let RecordedCalls { evidence, trials } = pending.noted.clone();
+    let what = RequestBody::Evidence { evidence, trials, have: seat.have() };
+    let said = Request { from: seat.options.name.clone(), life: seat.life, what };
+    match send_request(seat.address_of(&node), seat.from(), &said).await {
         Ok(Answer::Counted { number, list, ill, asked }) => {
             seat.asked.replace(asked);
             match list {
@@ -88,9 +88,9 @@
 async fn look_around(seat: &Rc<Seat>) {
     let others = seat.names().into_iter().filter(|name| *name != seat.options.name);
     let Some(node) = others.choose(&mut rand::rng()).and_then(|name| seat.node(&name)) else { return };
-    let what = What::Evidence { evidence: Evidence::default(), trials: Vec::new(), have: seat.have() };
-    let said = Said { from: seat.options.name.clone(), life: seat.life, what };
-    match say(seat.address_of(&node), seat.from(), &said).await {
+    let what = RequestBody::Evidence { evidence: Evidence::default(), trials: Vec::new(), have: seat.have() };
+    let said = Request { from: seat.options.name.clone(), life: seat.life, what };
+    match send_request(seat.address_of(&node), seat.from(), &said).await {
         Ok(Answer::Elsewhere(Some(holder))) => drop(seat.hear_of(&node.applicant.name, holder)),
         // The list itself comes with the answer to the first evidence, once the store has vouched for who tells it.
         Ok(Answer::Counted { number, .. }) => {
@@ -109,11 +109,11 @@
 }
 
 /// What the serving core has noted since; nothing once it is gone.
-async fn ask_core(seat: &Seat) -> Option<Noted> {
+async fn ask_core(seat: &Seat) -> Option<RecordedCalls> {
     let (back, noted) = oneshot::channel();
     seat.options.asks.send(back).await.ok()?;
     let mut noted = noted.await.ok()?;
-    noted.trials.truncate(MOST_TRIALS);
+    noted.trials.truncate(MAX_TRIALS);
     Some(noted)
 }
 
--- a/src/ejection/wire.rs
+++ b/src/ejection/wire.rs
@@ -1,5 +1,5 @@
 //! What nodes tell each other of servers: one question and one answer on a connection, in postcard's form behind its
-//! length, so that a message of evidence stays within [`super::evidence::MOST_BYTES`] and a few more.
+//! length, so that a message of evidence stays within [`super::evidence::MAX_BYTES`] and a few more.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -12,33 +12,33 @@
 
 use crate::net::connect::connect;
 
-use super::evidence::{Evidence, MOST_BYTES};
-use super::keeper::Trial;
-use super::list::{List, MOST_ENTRIES, Number};
+use super::evidence::{Evidence, MAX_BYTES};
+use super::list::{List, MAX_ENTRIES, Number};
+use super::list_manager::Trial;
 
 /// Servers whose trial calls one message tells of at the most.
-pub const MOST_TRIALS: usize = 64;
+pub const MAX_TRIALS: usize = 64;
 /// Bytes of a question at the most: a message of evidence, trials, and who says it.
-pub const QUESTION_BYTES: usize = MOST_BYTES + MOST_TRIALS * 40 + 512;
+pub const MAX_REQUEST_BYTES: usize = MAX_BYTES + MAX_TRIALS * 40 + 512;
 /// Bytes of an answer at the most: a whole list, with three testers of long names in each line.
-const ANSWER_BYTES: usize = MOST_ENTRIES * 1024;
+const MAX_ANSWER_BYTES: usize = MAX_ENTRIES * 1024;
 /// How long a question and its answer may take.
-pub const PATIENCE: Duration = Duration::from_secs(2);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a node says to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Said {
+pub struct Request {
     /// Its name. It is believed only from the address that the fleet's view has for the name.
     pub from: String,
     /// A word that changes with each start of its process.
     pub life: u64,
     /// What it says.
-    pub what: What,
+    pub what: RequestBody,
 }
 
-/// See [`Said`].
+/// See [`Request`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum RequestBody {
     /// To the one that counts: what its calls have shown.
     Evidence {
         /// All of its calls.
@@ -122,12 +122,12 @@
 /// Says something to the node at an address, from an address of this one.
 ///
 /// # Errors
-/// It cannot be reached, or does not answer within [`PATIENCE`].
-pub async fn say(at: SocketAddr, from: IpAddr, said: &Said) -> io::Result<Answer> {
+/// It cannot be reached, or does not answer within [`REQUEST_TIMEOUT`].
+pub async fn send_request(at: SocketAddr, from: IpAddr, said: &Request) -> io::Result<Answer> {
     let asked = async {
         let mut stream = connect(at, Some(from)).await?;
         send(&mut stream, said).await?;
-        receive(&mut stream, ANSWER_BYTES).await
+        receive(&mut stream, MAX_ANSWER_BYTES).await
     };
-    timeout(PATIENCE, asked).await?
+    timeout(REQUEST_TIMEOUT, asked).await?
 }
--- a/src/fleet/daemon.rs
+++ b/src/fleet/daemon.rs
@@ -137,7 +137,7 @@
     /// Its part in partners' routes, where it has one.
     pub partners: Option<watch::Receiver<crate::route_exchange::live::Report>>,
     /// What it shows of the votes on servers, where it has a part in them.
-    pub verdicts: Option<watch::Receiver<ejection::part::Report>>,
+    pub verdicts: Option<watch::Receiver<ejection::participant::Report>>,
     /// Whether this process is the node's only one: until it is, it follows the fleet and does not belong.
     pub alone: watch::Receiver<bool>,
 }
@@ -457,7 +457,7 @@
     copying: Option<Copying>,
     duties: Option<Ends>,
     partners: Option<watch::Receiver<crate::route_exchange::live::Report>>,
-    verdicts: Option<watch::Receiver<ejection::part::Report>>,
+    verdicts: Option<watch::Receiver<ejection::participant::Report>>,
     keeps: watch::Sender<Kept>,
     /// Why the view is not kept, while that is so.
     unkept: watch::Receiver<Option<String>>,
--- a/src/fleet/wire.rs
+++ b/src/fleet/wire.rs
@@ -219,7 +219,7 @@
     pub partners: Option<crate::route_exchange::live::Report>,
     /// Its part in the votes on servers, where it has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub verdicts: Option<crate::ejection::part::Report>,
+    pub verdicts: Option<crate::ejection::participant::Report>,
 }
 
 /// Why a node cannot be asked.
--- a/src/node.rs
+++ b/src/node.rs
@@ -22,7 +22,7 @@
     Config, ConfigError, CopiesTable, Descriptors, Operator, Peers, RecordsTable, RoutesTable,
 };
 use crate::ejection;
-use crate::ejection::holding::Terms as Counted;
+use crate::ejection::coordinator::Policy as EjectionPolicy;
 use crate::ejection::list::Shares;
 use crate::exchange::{self, Handle, HandoverMessage, Input, ReplicationChannel};
 use crate::fleet;
@@ -286,9 +286,9 @@
 /// The node's part in the votes on servers before it begins.
 struct Votes {
     duty: DutyName,
-    options: ejection::part::Options,
-    terms: Rc<watch::Sender<Counted>>,
-    shown: watch::Receiver<ejection::part::Report>,
+    options: ejection::participant::Options,
+    terms: Rc<watch::Sender<EjectionPolicy>>,
+    shown: watch::Receiver<ejection::participant::Report>,
 }
 
 impl Votes {
@@ -304,11 +304,11 @@
         let duty = DutyName::new(table.duty.clone()).ok()?;
         let (terms, agreed) = watch::channel(table.terms(records));
         let (shares, given) = watch::channel(Shares::new());
-        let (shown, seen) = watch::channel(ejection::part::Report::default());
+        let (shown, seen) = watch::channel(ejection::participant::Report::default());
         let (asks, asked) = mpsc::channel(1);
         spawn_local(routes?.vote(asked, given));
         let in_directory = || fleet.directory.as_ref().map(|directory| directory.join("verdicts.json"));
-        let options = ejection::part::Options {
+        let options = ejection::participant::Options {
             name: name.clone(),
             zone: fleet.zone.clone(),
             listen: SocketAddr::new(fleet.listen.ip(), table.port),
@@ -326,7 +326,7 @@
     /// Begins it. What is returned takes the duty's end.
     fn begin(self, view: watch::Receiver<View>, alone: watch::Receiver<bool>) -> Option<Given> {
         let (give, given) = oneshot::channel();
-        match ejection::part::start(self.options, view, alone, given) {
+        match ejection::participant::start(self.options, view, alone, given) {
             Ok(()) => Some((self.duty, give)),
             Err(problem) => {
                 error!("this node has no part in the votes: {problem}");
@@ -521,7 +521,7 @@
     publish: watch::Sender<String>,
     routes: Option<Rc<Routes>>,
     terms: Option<watch::Sender<Terms>>,
-    votes: Option<Rc<watch::Sender<Counted>>>,
+    votes: Option<Rc<watch::Sender<EjectionPolicy>>>,
     in_force: Option<Arc<InForce>>,
 }
 
--- a/src/peers/routes.rs
+++ b/src/peers/routes.rs
@@ -12,11 +12,11 @@
 
 use super::wire::Beliefs;
 use crate::config::RecordsTable;
-use crate::ejection::count;
-use crate::ejection::evidence::{Call, Counts, Life, Recorder};
-use crate::ejection::keeper::Trial;
-use crate::ejection::list::{Given, Share, Shares};
-use crate::ejection::part::Noted;
+use crate::ejection::detection;
+use crate::ejection::evidence::{Call, Counts, Recorder, ServerIncarnation};
+use crate::ejection::list::{Share, ShareAssignment, Shares};
+use crate::ejection::list_manager::Trial;
+use crate::ejection::participant::RecordedCalls;
 use crate::route::{CallEnd, CallEndKind, Choice, NoFreeServer, Pool, ServerId, Spec};
 use crate::server_stats::{Digest, MergeResult, StartReport};
 
@@ -69,7 +69,7 @@
     /// the servers. Ends with the part that has the other ends.
     pub async fn vote(
         self: Rc<Self>,
-        mut asks: mpsc::Receiver<oneshot::Sender<Noted>>,
+        mut asks: mpsc::Receiver<oneshot::Sender<RecordedCalls>>,
         mut shares: watch::Receiver<Shares>,
     ) {
         self.votes.replace(Some(Votes::default()));
@@ -90,9 +90,9 @@
         self.votes.replace(None);
     }
 
-    fn noted(&self) -> Noted {
+    fn noted(&self) -> RecordedCalls {
         let now = self.now();
-        let noted = |votes: &mut Votes| Noted {
+        let noted = |votes: &mut Votes| RecordedCalls {
             evidence: votes.recorder.take(now),
             trials: votes.trials.iter().map(|(server, (_, trial))| (*server, *trial)).collect(),
         };
@@ -126,7 +126,7 @@
         };
         let life = ended.run.and_then(|run| {
             let up_ms = run.up_ms?.clamp(0.0, f64::from(u32::MAX)) as u32;
-            Some(Life { incarnation: run.incarnation?, up_ms })
+            Some(ServerIncarnation { incarnation: run.incarnation?, up_ms })
         });
         let unit_ms = (!failed).then(|| choice.unit_ms(ended.took_ms));
         let call = Call { server: choice.address, class, life, failed, unit_ms };
@@ -197,14 +197,16 @@
 impl Votes {
     fn note(&mut self, now: f64, call: &Call) {
         let counts = self.recorder.note(now, call);
-        let Some(Given { share: Share::Trial, kind, times }) = self.shares.get(&call.server).copied() else {
+        let Some(ShareAssignment { share: Share::Trial, kind, times }) =
+            self.shares.get(&call.server).copied()
+        else {
             return;
         };
         let Counts { calls, failed, timed, slow } = counts;
         // One that fails is not well, whatever it went for.
         let (calls, bad) = match kind {
-            count::Kind::Failing => (calls, failed),
-            count::Kind::Slow => (timed + failed, slow + failed),
+            detection::Kind::Failing => (calls, failed),
+            detection::Kind::Slow => (timed + failed, slow + failed),
         };
         let (_, trial) = self.trials.entry(call.server).or_insert((times, Trial::default()));
         trial.calls = trial.calls.saturating_add(calls);
--- a/src/route/pool.rs
+++ b/src/route/pool.rs
@@ -682,7 +682,7 @@
         let zone = &self.options.zone;
         let mut eligible = Eligible::default();
         for (id, server) in &self.servers {
-            if server.share == Share::Asked {
+            if server.share == Share::Probed {
                 eligible.asked.push(id);
             }
             match server.standing {
--- a/src/route/server.rs
+++ b/src/route/server.rs
@@ -131,7 +131,7 @@
     pub(super) fn is_open(&self, drawn: f64) -> bool {
         let open = match self.share {
             Share::Part(part) => drawn < part,
-            Share::Asked => true,
+            Share::Probed => true,
             Share::Trial => false,
         };
         self.standing == ServerState::Active && open
--- a/tests/durable.rs
+++ b/tests/durable.rs
@@ -9,8 +9,8 @@
 
 use rstest::rstest;
 use sillflow::durable::{LoadError, Operations, SmallFile, is_transient};
-use sillflow::ejection::kept::KeptGuard;
 use sillflow::ejection::list::{List, Number};
+use sillflow::ejection::persistent_guard::PersistentGuard;
 use sillflow::fault_injection::{InjectedFault, inject};
 use sillflow::lease::{DutyName, Fence, Guard, Stale};
 use sillflow::route_exchange::asking::Line;
@@ -287,17 +287,19 @@
     let real = Real::new();
     let path = real.0.join("verdicts.json");
     let list = |sequence| List { number: Number { fence: 1, sequence }, ..List::default() };
-    let mut guard = KeptGuard::open(Some(path.clone())).expect("a guard");
+    let mut guard = PersistentGuard::open(Some(path.clone())).expect("a guard");
     guard.accept(0.0, &list(1)).expect("it is kept");
     real.block("verdicts.json");
     assert!(guard.accept(1.0, &list(2)).is_err());
     assert_eq!(guard.guard().seen(), list(1).number);
     real.unblock("verdicts.json");
     guard.accept(2.0, &list(2)).expect("it is kept again");
-    let mut guard = KeptGuard::open(Some(path.clone())).expect("a guard");
+    let mut guard = PersistentGuard::open(Some(path.clone())).expect("a guard");
     assert!(guard.accept(3.0, &list(1)).is_err(), "it is older than the last one");
     std::fs::write(&path, "").expect("a file");
-    assert!(KeptGuard::open(Some(path)).is_err_and(|problem| problem.to_string().contains("at byte 0")));
+    assert!(
+        PersistentGuard::open(Some(path)).is_err_and(|problem| problem.to_string().contains("at byte 0"))
+    );
 }
 
 /// This many ms since 1970, on a system that tells nothing of its boots.
--- a/tests/rig/verdicts.rs
+++ b/tests/rig/verdicts.rs
@@ -13,11 +13,13 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde_json::{Value, json};
-use sillflow::ejection::count::Scope;
+use sillflow::ejection::detection::Scope;
 use sillflow::ejection::evidence::{Evidence, Item};
-use sillflow::ejection::list::{List, Listed, Number, Stage, Why};
-use sillflow::ejection::part::Report;
-use sillflow::ejection::wire::{Answer, QUESTION_BYTES, Said, What, receive, say, send};
+use sillflow::ejection::list::{List, ListEntry, Number, Stage, Why};
+use sillflow::ejection::participant::Report;
+use sillflow::ejection::wire::{
+    Answer, MAX_REQUEST_BYTES, Request, RequestBody, receive, send, send_request,
+};
 
 use super::copies::Work;
 use super::relay::VERDICTS;
@@ -159,7 +161,7 @@
     }
 }
 
-fn by_votes(listed: &&Listed) -> bool {
+fn by_votes(listed: &&ListEntry) -> bool {
     !matches!(listed.why, Why::Operator)
 }
 
@@ -240,7 +242,7 @@
     for event in events {
         match event {
             Seen::Told { at_ms, list, .. } => {
-                let gone = |listed: &&Listed| {
+                let gone = |listed: &&ListEntry| {
                     listed.scope == Scope::Everywhere && matches!(listed.stage, Stage::Out)
                 };
                 let now: BTreeSet<SocketAddr> =
@@ -657,7 +659,7 @@
     }
 
     /// Whether a node has a server listed.
-    pub fn lists(&self, n: usize, server: SocketAddr) -> Option<Listed> {
+    pub fn lists(&self, n: usize, server: SocketAddr) -> Option<ListEntry> {
         self.votes(n)?.entries.into_iter().find(|listed| listed.server == server)
     }
 }
@@ -686,10 +688,10 @@
 
     /// Says this to a node in the name that it has now, from the address of another one.
     pub fn as_from(&self, rig: &Rig, from: usize, to: usize, evidence: Evidence) -> Option<Answer> {
-        let what = What::Evidence { evidence, trials: Vec::new(), have: Number::default() };
-        let said = Said { from: format!("n{}", self.n), life: self.life, what };
+        let what = RequestBody::Evidence { evidence, trials: Vec::new(), have: Number::default() };
+        let said = Request { from: format!("n{}", self.n), life: self.life, what };
         let at = SocketAddr::new(rig.fleet_address(to).ip(), VERDICTS);
-        wait(say(at, rig.relayed(from).split(':').next()?.parse().ok()?, &said)).ok()
+        wait(send_request(at, rig.relayed(from).split(':').next()?.parse().ok()?, &said)).ok()
     }
 
     /// Asks the node that counts for its list, and writes it down.
@@ -715,7 +717,7 @@
         let pretender = Self { n, life: rand::random(), number: u64::MAX / 4 };
         let why = Why::Operator;
         let listed =
-            Listed { server: out, scope: Scope::Everywhere, stage: Stage::Out, times: 1, why, word: None };
+            ListEntry { server: out, scope: Scope::Everywhere, stage: Stage::Out, times: 1, why, word: None };
         let at = SocketAddr::new(rig.fleet_address(n).ip(), VERDICTS);
         let listener = TcpListener::bind(at).expect("nobody else has it");
         listener.set_nonblocking(true).expect("a socket");
@@ -726,7 +728,7 @@
                 while let Ok((mut stream, _)) = listener.accept().await {
                     let listed = listed.clone();
                     let tells = async {
-                        let said: Said = receive(&mut stream, QUESTION_BYTES).await.ok()?;
+                        let said: Request = receive(&mut stream, MAX_REQUEST_BYTES).await.ok()?;
                         send(&mut stream, &lie(said.what, number, listed)).await.ok()
                     };
                     let _ = tokio::time::timeout(Duration::from_millis(500), tells).await;
@@ -738,19 +740,19 @@
 
     /// Says to a node that it counts.
     pub fn claims(&self, rig: &Rig, to: usize) -> Option<Answer> {
-        let what = What::Holds { fence: self.number, best: Number::default() };
-        let said = Said { from: format!("n{}", self.n), life: self.life, what };
+        let what = RequestBody::Holds { fence: self.number, best: Number::default() };
+        let said = Request { from: format!("n{}", self.n), life: self.life, what };
         let at = SocketAddr::new(rig.fleet_address(to).ip(), VERDICTS);
-        wait(say(at, rig.relayed(self.n).split(':').next()?.parse().ok()?, &said)).ok()
+        wait(send_request(at, rig.relayed(self.n).split(':').next()?.parse().ok()?, &said)).ok()
     }
 }
 
 /// What the pretender answers: its list, to the next one that counts as the last of the one before.
-fn lie(asked: What, number: u64, listed: Listed) -> Answer {
+fn lie(asked: RequestBody, number: u64, listed: ListEntry) -> Answer {
     let list = |fence| List { number: Number { fence, sequence: 1_000_000 }, entries: vec![listed] };
     match asked {
-        What::Holds { fence, .. } => Answer::Known(Some(list(fence - 1))),
-        What::Evidence { .. } => {
+        RequestBody::Holds { fence, .. } => Answer::Known(Some(list(fence - 1))),
+        RequestBody::Evidence { .. } => {
             let list = list(number);
             Answer::Counted { number: list.number, list: Some(list), ill: false, asked: Vec::new() }
         }
--- a/tests/verdict_rules.rs
+++ b/tests/verdict_rules.rs
@@ -10,18 +10,25 @@
 use rstest::rstest;
 use serde_json::json;
 use sillflow::config::Operator;
-use sillflow::ejection::asking::{MOST_ASKED, ask};
-use sillflow::ejection::cap::{Decision, Gone, Limits, Member, Reason, Word, decide};
-use sillflow::ejection::claims::{AGAIN_MS, Claims, Heard};
-use sillflow::ejection::count::{Doubt, Findings, Kind, Outlier, Planted, Rules, Scope, judge, least_voters};
+use sillflow::ejection::cap::{Decision, Ejected, Limits, Member, OperatorOverride, Reason, decide};
+use sillflow::ejection::claims::{ClaimOutcome, Claims, RETRY_INTERVAL_MS};
+use sillflow::ejection::coordinator::{Coordinator, Policy, Vote};
+use sillflow::ejection::detection::{
+    Findings, Kind, Outlier, RuleFault, Rules, Scope, Suspect, evaluate, min_voters,
+};
 use sillflow::ejection::evidence::{
-    Book, Call, Counts, Evidence, EvidenceError, Item, Life, MOST_BYTES, MOST_ITEMS, Recorder, SLOT_MS, Voter,
+    Call, Counts, Evidence, EvidenceError, EvidenceStore, Item, MAX_BYTES, MAX_ITEMS, Recorder, SLOT_MS,
+    ServerIncarnation, Voter,
+};
+use sillflow::ejection::latest_list::LatestList;
+use sillflow::ejection::list::{
+    Guard, LIST_VALIDITY_MS, List, ListEntry, ListError, Number, Share, Stage, Why,
+};
+use sillflow::ejection::list_manager::{
+    EJECTION_MS, ListManager, RELAPSE_WINDOW_MS, TRIAL_MS, Trial, ejection_ms,
 };
-use sillflow::ejection::holding::{Holding, Terms, Vote};
-use sillflow::ejection::keeper::{CALM_MS, Keeper, OUT_MS, TRIAL_MS, Trial, out_ms};
-use sillflow::ejection::kept::{KeepError, KeptGuard};
-use sillflow::ejection::latest::Latest;
-use sillflow::ejection::list::{Guard, KEEP_MS, List, ListError, Listed, Number, Share, Stage, Why};
+use sillflow::ejection::persistent_guard::{ApplyError, PersistentGuard};
+use sillflow::ejection::probing::{MAX_PROBED, assign_probes};
 use sillflow::ejection::routes::routes_of;
 use sillflow::ejection::sequential::{Wealth, bet, contribution, pooled, recovered};
 use sillflow::ejection::wire::Holder;
@@ -53,14 +60,14 @@
 
 /// A book to which voters speak slot by slot.
 struct Table {
-    book: Book,
+    book: EvidenceStore,
     now: f64,
     numbers: BTreeMap<String, u64>,
 }
 
 impl Table {
     fn new() -> Self {
-        Self { book: Book::default(), now: 1_000_000.0, numbers: BTreeMap::new() }
+        Self { book: EvidenceStore::default(), now: 1_000_000.0, numbers: BTreeMap::new() }
     }
 
     fn says(&mut self, voter: &Voter, items: Vec<Item>) {
@@ -93,7 +100,7 @@
 
     fn judged(&self, rules: Rules) -> Findings {
         // The slot that has just begun has nothing yet.
-        judge(&self.book, self.now - SLOT_MS, &rules)
+        evaluate(&self.book, self.now - SLOT_MS, &rules)
     }
 
     fn out(&self, rules: Rules) -> Vec<(SocketAddr, Scope)> {
@@ -105,8 +112,8 @@
     Rules::default()
 }
 
-fn planted(planted: Planted) -> Rules {
-    Rules { planted: Some(planted), ..Rules::default() }
+fn planted(planted: RuleFault) -> Rules {
+    Rules { injected_fault: Some(planted), ..Rules::default() }
 }
 
 fn dead(server: usize) -> impl Fn(usize, usize) -> Counts {
@@ -266,13 +273,13 @@
     let zones: Vec<usize> =
         zones.iter().enumerate().flat_map(|(zone, count)| std::iter::repeat_n(zone, *count)).collect();
     let rules = Rules { liars: Some(1), ..rules() };
-    let terms = Terms { members: members(&[1.0; 6]), rules, ..Terms::default() };
-    let mut holding = Holding::begin(0.0, 1, None);
+    let terms = Policy { members: members(&[1.0; 6]), rules, ..Policy::default() };
+    let mut holding = Coordinator::begin(0.0, 1, None);
     (1..60).find(|second| {
         let now = 1e6 + SLOT_MS * f64::from(*second);
         for (n, zone) in zones.iter().enumerate() {
             let name = format!("n{n}");
-            let calls = u32::from(*second == 1 || asks && holding.asked(&name).contains(&at(0)));
+            let calls = u32::from(*second == 1 || asks && holding.probes_for(&name).contains(&at(0)));
             let said = |server| match (liar == Some(n), server) {
                 (true, 0) => counts(50, 0),
                 (true, 1) => counts(50, 50),
@@ -283,7 +290,7 @@
             let voter = Voter { machine: name.clone(), name, zone: format!("z{zone}") };
             let evidence = Evidence { number: u64::from(*second), items };
             let vote = Vote { voter, life: 1, evidence, trials: Vec::new() };
-            holding.hear(now, &vote).expect("evidence");
+            holding.receive(now, &vote).expect("evidence");
         }
         holding.turn(now, &terms, 3.0 * SLOT_MS);
         let out = holding.list().entries;
@@ -321,11 +328,11 @@
     let near: Vec<&Voter> = voters.iter().collect();
     let full = [voters[0].machine.clone()].into();
     let zone = Some(voters[0].zone.clone());
-    let doubts = vec![Doubt { server: at(2), zone, evidence: 5.0, full, needed: 10 }; 40];
-    let asked = ask(&doubts[..1], &near, 0);
+    let suspects = vec![Suspect { server: at(2), zone, evidence: 5.0, full, needed: 10 }; 40];
+    let asked = assign_probes(&suspects[..1], &near, 0);
     assert_eq!((asked.len(), asked.contains_key(&voters[0].name)), (10 + 5 * (ZONES - 1), false));
-    assert!(ask(&doubts, &near, 3).values().all(|servers| servers.len() <= MOST_ASKED));
-    let later = ask(&doubts[..1], &near, 8);
+    assert!(assign_probes(&suspects, &near, 3).values().all(|servers| servers.len() <= MAX_PROBED));
+    let later = assign_probes(&suspects[..1], &near, 8);
     assert!(later.keys().all(|name| !asked.contains_key(name)), "others, some may have no calls to make");
 }
 
@@ -349,7 +356,7 @@
 fn votes_of_one_machine_count_as_one() {
     let table = crowd();
     assert!(table.out(rules()).is_empty());
-    let broken = table.out(planted(Planted::OneVoterTwice));
+    let broken = table.out(planted(RuleFault::OneVoterTwice));
     assert_eq!(broken, [(at(2), Scope::Everywhere)], "the planted error shows");
 }
 
@@ -366,7 +373,7 @@
     }
     let one = Rules { liars: Some(1), ..rules() };
     assert_eq!(table.out(one), [(at(2), Scope::Everywhere)]);
-    let broken = Rules { liars: Some(1), ..planted(Planted::AbstentionsAsGood) };
+    let broken = Rules { liars: Some(1), ..planted(RuleFault::AbstentionsAsGood) };
     assert!(table.out(broken).is_empty(), "the planted error shows");
 }
 
@@ -379,7 +386,7 @@
                 let (life, up_ms) = if slot < 8 { (7, 900_000) } else { (8, (slot - 7) * 1000) };
                 let told = slot < 8 || machine < knowing;
                 let failed = u32::from(server == 2 && slot < 8);
-                let life = (told && server == 2).then_some(Life { incarnation: life, up_ms });
+                let life = (told && server == 2).then_some(ServerIncarnation { incarnation: life, up_ms });
                 Item { life, ..item(server, counts(1, failed)) }
             };
             table.says(&voter(machine, 0), (0..6).map(of).collect());
@@ -393,7 +400,7 @@
 fn a_server_is_not_held_to_what_it_did_before_its_restart() {
     let table = restarted(12);
     assert!(table.out(rules()).is_empty());
-    assert!(!table.out(planted(Planted::LivesMixed)).is_empty(), "the planted error shows");
+    assert!(!table.out(planted(RuleFault::LivesMixed)).is_empty(), "the planted error shows");
 }
 
 #[rstest]
@@ -405,7 +412,7 @@
 fn a_restart_that_was_told_of_is_forgiven() {
     let mut table = Table::new();
     table.slots(10, 0..12, |_, _| counts(1, 0));
-    table.book.forgive(at(2), table.now, table.now + 8.0 * SLOT_MS);
+    table.book.exempt(at(2), table.now, table.now + 8.0 * SLOT_MS);
     table.slots(8, 0..12, dead(2));
     assert!(table.out(rules()).is_empty());
     table.slots(8, 0..12, dead(2));
@@ -421,8 +428,8 @@
     assert_eq!(take(&mut table, &evidence), Err(EvidenceError::Again { told: 3, seen: 3 }));
     let wrong = Evidence { number: 4, items: vec![item(1, counts(1, 2))] };
     assert!(matches!(take(&mut table, &wrong), Err(EvidenceError::Counts { .. })));
-    let long = Evidence { number: 4, items: vec![item(1, counts(1, 0)); MOST_ITEMS + 1] };
-    assert_eq!(take(&mut table, &long), Err(EvidenceError::Long(MOST_ITEMS + 1)));
+    let long = Evidence { number: 4, items: vec![item(1, counts(1, 0)); MAX_ITEMS + 1] };
+    assert_eq!(take(&mut table, &long), Err(EvidenceError::Long(MAX_ITEMS + 1)));
 }
 
 #[rstest]
@@ -441,13 +448,13 @@
     let mut recorder = Recorder::default();
     let address = |n: usize| SocketAddr::from(([0xfe80, 0, 0, 0, 0, 0, 0, n as u16], 65_535));
     for n in 0..100 {
-        let life = Some(Life { incarnation: u64::MAX, up_ms: u32::MAX });
+        let life = Some(ServerIncarnation { incarnation: u64::MAX, up_ms: u32::MAX });
         let call = Call { server: address(n), class: 3, life, failed: true, unit_ms: None };
         (0..300).for_each(|_| _ = recorder.note(5_000.0, &call));
     }
     let (first, second) = (recorder.take(200_000.0), recorder.take(200_000.0));
-    assert_eq!((first.items.len(), second.items.len()), (MOST_ITEMS, 100 - MOST_ITEMS));
-    assert!(postcard::to_stdvec(&first).expect("bytes").len() <= MOST_BYTES);
+    assert_eq!((first.items.len(), second.items.len()), (MAX_ITEMS, 100 - MAX_ITEMS));
+    assert!(postcard::to_stdvec(&first).expect("bytes").len() <= MAX_BYTES);
     assert!(first.check().is_ok() && second.number > first.number);
 }
 
@@ -458,7 +465,7 @@
     for n in 0..400 {
         let usual = 50.0 * (1.0 + rng.random::<f64>());
         let (cold, slow) = (n % 8 == 0, n % 8 == 1);
-        let life = Some(Life { incarnation: 1, up_ms: if cold { 2_000 } else { 900_000 } });
+        let life = Some(ServerIncarnation { incarnation: 1, up_ms: if cold { 2_000 } else { 900_000 } });
         let unit_ms = Some(if cold || slow { 4.0 * usual } else { usual });
         let server = at(if cold {
             0
@@ -509,7 +516,7 @@
                     // One honest call in fifty fails.
                     let chance = u32::from((slot * 31 + server * 7 + machine * 13) % 50 == 0);
                     let honest = counts(1, if server == 2 { 1 } else { chance });
-                    let life = lives[n].filter(|_| lying).map(|(incarnation, up_ms)| Life { incarnation, up_ms });
+                    let life = lives[n].filter(|_| lying).map(|(incarnation, up_ms)| ServerIncarnation { incarnation, up_ms });
                     Item { life, ..item(server, if lying { lies[n] } else { honest }) }
                 });
                 let items = items.collect();
@@ -527,7 +534,7 @@
         lies in prop::collection::vec(claim(), 24),
     ) {
         // All but the last few are honest and find everything well; so many may even collude.
-        let bad = least_voters(liars) + liars - 1;
+        let bad = min_voters(liars) + liars - 1;
         let mut table = Table::new();
         for slot in 0..30 {
             for machine in 0..40 {
@@ -615,7 +622,7 @@
         decided(&members, &[outlier(4, 50.0)], rules).remove.iter().map(|one| one.server).collect()
     };
     assert!(out(&rules()).is_empty());
-    assert!(passed(&members, &out(&planted(Planted::CapByNumberOnly)), 0.3), "the planted error shows");
+    assert!(passed(&members, &out(&planted(RuleFault::CapByNumberOnly)), 0.3), "the planted error shows");
 }
 
 #[rstest]
@@ -658,8 +665,8 @@
 #[rstest]
 fn those_that_went_just_now_stand_out_too() {
     let fleet = members(&[1.0; 12]);
-    let gone = |recent: bool| -> Vec<Gone> {
-        let one = |n| Gone { server: at(n), scope: Scope::Everywhere, recent };
+    let gone = |recent: bool| -> Vec<Ejected> {
+        let one = |n| Ejected { server: at(n), scope: Scope::Everywhere, recent };
         [0, 1].map(one).to_vec()
     };
     let outliers: Vec<Outlier> = (2..5).map(|server| outlier(server, 30.0)).collect();
@@ -673,23 +680,23 @@
 
 #[rstest]
 fn an_operators_word_goes_first_and_both_are_seen() {
-    let words = BTreeMap::from([(at(1), Word::AlwaysIn), (at(2), Word::OutNow)]);
+    let words = BTreeMap::from([(at(1), OperatorOverride::AlwaysIn), (at(2), OperatorOverride::OutNow)]);
     let found = [outlier(1, 30.0), outlier(3, 30.0)];
     let decision = decide(&members(&[1.0; 12]), &[], &found, &words, &Limits::default(), &rules());
     assert_eq!(decision.kept, [(outlier(1, 30.0), Reason::Operator)]);
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     keeper.remove(0.0, &Decision { remove: found.to_vec(), kept: Vec::new() });
-    keeper.words(0.0, words);
+    keeper.set_overrides(0.0, words);
     let list = keeper.list();
     let seen: Vec<_> = list.entries.iter().map(|one| (one.server, one.word)).collect();
-    assert_eq!(seen, [(at(2), Some(Word::OutNow)), (at(3), None)]);
+    assert_eq!(seen, [(at(2), Some(OperatorOverride::OutNow)), (at(3), None)]);
     keeper.step(1e9, &nodes(9));
     assert_eq!(
         keeper.list().entries[0].stage,
         Stage::Out,
         "no trial brings back what an operator has put out"
     );
-    keeper.words(1e9, BTreeMap::new());
+    keeper.set_overrides(1e9, BTreeMap::new());
     assert_eq!(keeper.list().entries.len(), 1, "and it is back with the word");
 }
 
@@ -701,22 +708,22 @@
     Decision { remove: vec![outlier(server, 30.0)], kept: Vec::new() }
 }
 
-fn stage(keeper: &Keeper) -> Option<Stage> {
+fn stage(keeper: &ListManager) -> Option<Stage> {
     keeper.list().entries.first().map(|one| one.stage.clone())
 }
 
 /// Reports the same trial from so many of the testers, and others' words from nobody that was asked.
-fn tries(keeper: &mut Keeper, of: usize, trial: Trial) {
+fn tries(keeper: &mut ListManager, of: usize, trial: Trial) {
     let Some(Stage::Trial(testers)) = stage(keeper) else { panic!("no trial: {:?}", stage(keeper)) };
-    testers.iter().take(of).for_each(|name| keeper.tried(at(2), name, trial));
-    keeper.tried(at(2), "nobody", Trial { calls: 1000, bad: 1000 });
+    testers.iter().take(of).for_each(|name| keeper.record_trial(at(2), name, trial));
+    keeper.record_trial(at(2), "nobody", Trial { calls: 1000, bad: 1000 });
 }
 
 #[rstest]
 fn a_server_comes_back_by_the_trials_of_most_testers_and_in_steps() {
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     keeper.remove(0.0, &removal(2));
-    let mut now = OUT_MS.0;
+    let mut now = EJECTION_MS.0;
     keeper.step(now, &nodes(9));
     tries(&mut keeper, 1, Trial { calls: 100, bad: 0 });
     keeper.step(now, &nodes(9));
@@ -731,16 +738,16 @@
     assert_eq!(seen, [Some(Stage::Step(10)), Some(Stage::Step(30)), Some(Stage::Step(60)), None]);
     keeper.remove(now, &removal(2));
     assert_eq!(keeper.list().entries[0].times, 2, "the second removal lasts longer");
-    keeper.step(now + OUT_MS.0, &nodes(9));
+    keeper.step(now + EJECTION_MS.0, &nodes(9));
     assert_eq!(stage(&keeper), Some(Stage::Out));
 }
 
 #[rstest]
 fn testers_that_say_nothing_or_lie_are_followed_by_others() {
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     keeper.remove(0.0, &removal(2));
     let mut seen = Vec::new();
-    let mut now = OUT_MS.0;
+    let mut now = EJECTION_MS.0;
     for _ in 0..3 {
         keeper.step(now, &nodes(9));
         let Some(Stage::Trial(testers)) = stage(&keeper) else { panic!("no trial") };
@@ -759,10 +766,10 @@
 #[rstest]
 fn flapping_is_bounded() {
     // A server that is well whenever it is tried, and fails as soon as it is back.
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     let mut removals = 0;
     let mut now = 0.0;
-    while now < CALM_MS {
+    while now < RELAPSE_WINDOW_MS {
         if stage(&keeper).is_none() {
             keeper.remove(now, &removal(2));
             removals += 1;
@@ -774,19 +781,22 @@
         now += 1_000.0;
     }
     assert!((3..=7).contains(&removals), "{removals} in an hour");
-    assert!((1..40).all(|times| out_ms(times + 1) >= out_ms(times) && out_ms(times) <= OUT_MS.1));
+    assert!(
+        (1..40)
+            .all(|times| ejection_ms(times + 1) >= ejection_ms(times) && ejection_ms(times) <= EJECTION_MS.1)
+    );
 }
 
 #[rstest]
 fn a_new_holder_goes_on_from_the_list_and_the_old_one_is_turned_down() {
-    let mut old = Keeper::begin(0.0, 4, None);
+    let mut old = ListManager::begin(0.0, 4, None);
     let mut guard = Guard::default();
     assert_eq!(guard.accept(0.0, &old.list()), Ok(true));
     old.remove(0.0, &removal(2));
     let before = old.list();
     assert_eq!(guard.accept(0.0, &before), Ok(true));
     // Both halves remove: the old holder on its side, the new one from the list that it knew.
-    let mut new = Keeper::begin(0.0, 5, Some(&before));
+    let mut new = ListManager::begin(0.0, 5, Some(&before));
     old.remove(0.0, &removal(3));
     new.remove(0.0, &removal(4));
     assert_eq!(guard.accept(0.0, &new.list()), Ok(true));
@@ -804,27 +814,27 @@
 
 #[rstest]
 fn a_minority_keeps_its_list_for_the_stated_time_and_then_acts_by_itself() {
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     keeper.remove(0.0, &removal(2));
     let mut guard = Guard::default();
     guard.accept(0.0, &keeper.list()).expect("a list");
     let share = |guard: &Guard, now| guard.share(now, at(2), "n0", "z0");
     assert!(guard.confirmed(50_000.0, keeper.list().number));
-    assert_eq!(share(&guard, 50_000.0 + KEEP_MS), Share::Part(0.0));
-    assert_eq!(share(&guard, 50_001.0 + KEEP_MS), Share::Part(1.0));
+    assert_eq!(share(&guard, 50_000.0 + LIST_VALIDITY_MS), Share::Part(0.0));
+    assert_eq!(share(&guard, 50_001.0 + LIST_VALIDITY_MS), Share::Part(1.0));
     assert!(!guard.confirmed(0.0, Number { fence: 2, sequence: 1 }), "a later one is to be asked for");
 }
 
 #[rstest]
 fn a_zones_removal_and_a_trial_touch_those_that_they_name() {
-    let mut keeper = Keeper::begin(0.0, 1, None);
+    let mut keeper = ListManager::begin(0.0, 1, None);
     let zoned = Outlier { scope: Scope::Zone("z1".to_owned()), ..outlier(2, 30.0) };
     keeper.remove(0.0, &Decision { remove: vec![zoned], kept: Vec::new() });
     let mut guard = Guard::default();
     guard.accept(0.0, &keeper.list()).expect("a list");
     let of = |guard: &Guard, node: &str, zone: &str| guard.share(0.0, at(2), node, zone);
     assert_eq!((of(&guard, "n1", "z1"), of(&guard, "n0", "z0")), (Share::Part(0.0), Share::Part(1.0)));
-    keeper.step(OUT_MS.0, &nodes(9));
+    keeper.step(EJECTION_MS.0, &nodes(9));
     guard.accept(0.0, &keeper.list()).expect("a list");
     let trying = (0..9).filter(|n| of(&guard, &format!("n{n}"), "z1") == Share::Trial).count();
     assert_eq!(trying, 3);
@@ -849,27 +859,27 @@
     let directory = std::env::temp_dir().join(format!("sillflow-kept-{}", std::process::id()));
     let path = directory.join("verdicts.json");
     let list = |sequence| List { number: Number { fence: 3, sequence }, entries: Vec::new() };
-    let mut guard = KeptGuard::open(Some(path.clone())).expect("no file is a new one");
+    let mut guard = PersistentGuard::open(Some(path.clone())).expect("no file is a new one");
     assert!(guard.accept(0.0, &list(7)).expect("the latest"));
-    let mut again = KeptGuard::open(Some(path.clone())).expect("the file");
+    let mut again = PersistentGuard::open(Some(path.clone())).expect("the file");
     assert!(again.guard().in_force(0.0).is_none(), "the list itself is asked for again");
-    assert!(matches!(again.accept(1.0, &list(6)), Err(KeepError::List(ListError::Older { .. }))));
+    assert!(matches!(again.accept(1.0, &list(6)), Err(ApplyError::List(ListError::Older { .. }))));
     assert!(again.accept(1.0, &list(7)).expect("the same"));
     // Where a directory stands in the way nothing can be written.
     std::fs::remove_file(&path).expect("a file");
     std::fs::create_dir_all(path.join("in-the-way")).expect("a folder");
-    assert!(matches!(again.accept(2.0, &list(8)), Err(KeepError::Io(_))));
+    assert!(matches!(again.accept(2.0, &list(8)), Err(ApplyError::Io(_))));
     assert_eq!(again.guard().seen(), list(7).number);
     std::fs::remove_dir_all(&directory).expect("a folder");
     std::fs::create_dir_all(&directory).expect("a folder");
     std::fs::write(&path, "no number").expect("a file");
-    assert!(KeptGuard::open(Some(path)).is_err());
+    assert!(PersistentGuard::open(Some(path)).is_err());
     let _ = std::fs::remove_dir_all(directory);
 }
 
 #[rstest]
 fn each_server_gets_the_least_of_what_its_lines_give() {
-    let line = |scope, stage| Listed {
+    let line = |scope, stage| ListEntry {
         server: at(0),
         scope,
         stage,
@@ -889,7 +899,7 @@
     assert_eq!(given("n1", "z2").share, Share::Part(0.3));
     assert_eq!(given("n1", "z2").share, guard.share(0.0, at(0), "n1", "z2"));
     assert_eq!(given("n1", "z1").times, 2);
-    assert!(guard.shares(KEEP_MS + 1.0, "n1", "z1").is_empty(), "by its own measure");
+    assert!(guard.shares(LIST_VALIDITY_MS + 1.0, "n1", "z1").is_empty(), "by its own measure");
 }
 
 #[rstest]
@@ -945,8 +955,8 @@
         went_beside(&mut pool(shares), 4000, safe, route::CallEndKind::ConnectionRefused)[0]
     };
     let avoided = dead(&[], true);
-    assert!(avoided < 20 && dead(&[(0, Share::Asked)], false) < 20, "{avoided}");
-    let asked = dead(&[(0, Share::Asked)], true);
+    assert!(avoided < 20 && dead(&[(0, Share::Probed)], false) < 20, "{avoided}");
+    let asked = dead(&[(0, Share::Probed)], true);
     assert!((50..=80 + avoided).contains(&asked), "{asked} beside {avoided}");
     let trial = went(&mut pool(&[(0, Share::Trial)]), 4000, true);
     assert!(trial[0] > 100 && trial[0] < 700, "{trial:?}");
@@ -975,28 +985,37 @@
 #[rstest]
 fn a_holder_is_gone_by_only_once_the_store_has_vouched_for_it() {
     let mut claims = Claims::default();
-    assert_eq!(claims.hear(0.0, 0, "n1", &holder(7, 1)), Heard::New);
+    assert_eq!(claims.receive(0.0, 0, "n1", &holder(7, 1)), ClaimOutcome::Unverified);
     assert_eq!(claims.holder(), None);
-    assert!(claims.go_by(holder(7, 1)));
-    assert_eq!(claims.hear(1.0, 0, "n1", &holder(7, 1)), Heard::Known);
+    assert!(claims.accept_holder(holder(7, 1)));
+    assert_eq!(claims.receive(1.0, 0, "n1", &holder(7, 1)), ClaimOutcome::Known);
     // Another one under the same number, one under a lower one, and one below a list of an earlier start.
-    assert_eq!(claims.hear(2.0, 0, "n2", &holder(7, 2)), Heard::Passed(7));
-    assert_eq!(claims.hear(2.0, 0, "n2", &holder(6, 2)), Heard::Passed(7));
-    assert_eq!(claims.hear(2.0, 9, "n2", &holder(8, 2)), Heard::Passed(9));
+    assert_eq!(claims.receive(2.0, 0, "n2", &holder(7, 2)), ClaimOutcome::Superseded(7));
+    assert_eq!(claims.receive(2.0, 0, "n2", &holder(6, 2)), ClaimOutcome::Superseded(7));
+    assert_eq!(claims.receive(2.0, 9, "n2", &holder(8, 2)), ClaimOutcome::Superseded(9));
     // One that names number after number has the store asked seldom, and holds up nobody else.
-    assert_eq!(claims.hear(3.0, 0, "n3", &holder(1 << 60, 3)), Heard::New);
-    assert_eq!(claims.hear(4.0, 0, "n3", &holder(1 << 61, 3)), Heard::Waits);
-    assert_eq!(claims.hear(5.0, 0, "n4", &holder(8, 4)), Heard::New);
-    assert_eq!(claims.hear(4.0 + AGAIN_MS, 0, "n3", &holder(1 << 61, 3)), Heard::New);
+    assert_eq!(claims.receive(3.0, 0, "n3", &holder(1 << 60, 3)), ClaimOutcome::Unverified);
+    assert_eq!(claims.receive(4.0, 0, "n3", &holder(1 << 61, 3)), ClaimOutcome::RateLimited);
+    assert_eq!(claims.receive(5.0, 0, "n4", &holder(8, 4)), ClaimOutcome::Unverified);
+    assert_eq!(
+        claims.receive(4.0 + RETRY_INTERVAL_MS, 0, "n3", &holder(1 << 61, 3)),
+        ClaimOutcome::Unverified
+    );
     // Two are vouched for, and the answers come in any order.
-    assert!(claims.go_by(holder(9, 5)) && !claims.go_by(holder(8, 4)));
+    assert!(claims.accept_holder(holder(9, 5)) && !claims.accept_holder(holder(8, 4)));
     assert_eq!(claims.holder(), Some(&holder(9, 5)));
 }
 
 fn told(fence: u64, sequence: u64, server: usize) -> List {
     let why = Why::Operator;
-    let listed =
-        Listed { server: at(server), scope: Scope::Everywhere, stage: Stage::Out, times: 1, why, word: None };
+    let listed = ListEntry {
+        server: at(server),
+        scope: Scope::Everywhere,
+        stage: Stage::Out,
+        times: 1,
+        why,
+        word: None,
+    };
     List { number: Number { fence, sequence }, entries: vec![listed] }
 }
 
@@ -1021,8 +1040,8 @@
     #[case] all: &[(&str, List)],
     #[case] found: Option<List>,
 ) {
-    let mut latest = Latest::new(4, liars, own);
-    all.iter().for_each(|(machine, list)| latest.hear(machine, list.clone()));
+    let mut latest = LatestList::new(4, liars, own);
+    all.iter().for_each(|(machine, list)| latest.receive(machine, list.clone()));
     assert_eq!(latest.found(), found.as_ref());
     assert_eq!(latest.number(), found.map_or(Number::default(), |list| list.number));
 }
--- a/tests/verdicts.rs
+++ b/tests/verdicts.rs
@@ -16,11 +16,11 @@
 use rstest::rstest;
 use serde_json::json;
 use sillflow::ejection::cap::{Limits, Member, Reason};
-use sillflow::ejection::count::{Kind, Outlier, Planted, Rules, Scope};
-use sillflow::ejection::evidence::{Counts, Evidence, Item, Life, Voter};
-use sillflow::ejection::holding::{Holding, Terms, Vote};
-use sillflow::ejection::keeper::OUT_MS;
-use sillflow::ejection::list::{List, Listed, Number, Stage, Why};
+use sillflow::ejection::coordinator::{Coordinator, Policy, Vote};
+use sillflow::ejection::detection::{Kind, Outlier, RuleFault, Rules, Scope};
+use sillflow::ejection::evidence::{Counts, Evidence, Item, ServerIncarnation, Voter};
+use sillflow::ejection::list::{List, ListEntry, Number, Stage, Why};
+use sillflow::ejection::list_manager::EJECTION_MS;
 use sillflow::ejection::wire::Answer;
 use sillflow::lease::Unproved;
 
@@ -92,14 +92,14 @@
     site.well(0);
     left_alone(&site, 0, &all());
     let at = site.address(0);
-    let mut tried = false;
-    until("it is back", Duration::from_millis(OUT_MS.0 as u64) + PATIENCE * 4, || {
+    let mut was_tried = false;
+    until("it is back", Duration::from_millis(EJECTION_MS.0 as u64) + PATIENCE * 4, || {
         let _ = asks.asks(&rig, &site, &all());
         let stages: Vec<_> = all().iter().map(|n| rig.lists(*n, at).map(|one| one.stage)).collect();
-        tried |= stages.iter().flatten().any(|stage| matches!(stage, Stage::Trial(_)));
+        was_tried |= stages.iter().flatten().any(|stage| matches!(stage, Stage::Trial(_)));
         stages.iter().all(Option::is_none)
     });
-    assert!(tried, "by trial");
+    assert!(was_tried, "by trial");
     let since = site.now_ms();
     until("each calls it again", PATIENCE * 2, || all().iter().all(|n| site.calls(0, since, &[*n]) > 0));
     site.holds();
@@ -515,7 +515,7 @@
     Allowed { capacity, most_out: 0.3 }
 }
 
-fn line(server: usize, scope: Scope) -> Listed {
+fn line(server: usize, scope: Scope) -> ListEntry {
     let (kind, evidence) = (Kind::Failing, 30.0);
     let outlier = Outlier {
         server: at(server),
@@ -528,15 +528,15 @@
         span: 8,
     };
     let why = Why::Votes(outlier);
-    Listed { server: at(server), scope, stage: Stage::Out, times: 1, why, word: None }
+    ListEntry { server: at(server), scope, stage: Stage::Out, times: 1, why, word: None }
 }
 
 /// As an operator's word has it.
-fn out_by_the_operator(server: usize) -> Listed {
-    Listed { why: Why::Operator, times: 0, ..line(server, Scope::Everywhere) }
+fn out_by_the_operator(server: usize) -> ListEntry {
+    ListEntry { why: Why::Operator, times: 0, ..line(server, Scope::Everywhere) }
 }
 
-fn told(at_ms: u64, (fence, sequence): (u64, u64), entries: Vec<Listed>) -> Seen {
+fn told(at_ms: u64, (fence, sequence): (u64, u64), entries: Vec<ListEntry>) -> Seen {
     Seen::Told { at_ms, by: 1, list: List { number: Number { fence, sequence }, entries } }
 }
 
@@ -606,28 +606,28 @@
 
 /// What is told of evidence over some minutes, as the one that counts makes it.
 struct Play {
-    holding: Holding,
-    terms: Terms,
+    holding: Coordinator,
+    terms: Policy,
     seen: Vec<Seen>,
     numbers: BTreeMap<String, u64>,
     now: u64,
 }
 
 impl Play {
-    fn new(capacities: &[f64], planted: Option<Planted>) -> Self {
+    fn new(capacities: &[f64], injected_fault: Option<RuleFault>) -> Self {
         let member = |(n, capacity): (usize, &f64)| Member {
             server: at(n),
             zone: String::new(),
             capacity: *capacity,
             routes: Vec::new(),
         };
-        let terms = Terms {
+        let terms = Policy {
             members: capacities.iter().enumerate().map(member).collect(),
             limits: Limits::default(),
-            rules: Rules { liars: Some(1), planted },
-            ..Terms::default()
+            rules: Rules { liars: Some(1), injected_fault },
+            ..Policy::default()
         };
-        let holding = Holding::begin(0.0, 1, None);
+        let holding = Coordinator::begin(0.0, 1, None);
         Self { holding, terms, seen: Vec::new(), numbers: BTreeMap::new(), now: 1_000_000 }
     }
 
@@ -636,7 +636,7 @@
         &mut self,
         seconds: u64,
         nodes: &[(usize, usize)],
-        script: impl Fn(usize, usize) -> Option<(u32, Option<Life>)>,
+        script: impl Fn(usize, usize) -> Option<(u32, Option<ServerIncarnation>)>,
     ) {
         for _ in 0..seconds {
             for (node, machine) in nodes {
@@ -651,7 +651,7 @@
                 let evidence = Evidence { number: *number, items: (0..6).filter_map(item).collect() };
                 let voter = Voter { name, machine, zone: format!("z{}", node % 3) };
                 let vote = Vote { voter, life: 1, evidence, trials: Vec::new() };
-                self.holding.hear(self.now as f64, &vote).expect("evidence");
+                self.holding.receive(self.now as f64, &vote).expect("evidence");
             }
             self.now += 1000;
             self.holding.turn(self.now as f64, &self.terms, 3000.0);
@@ -666,8 +666,8 @@
 
 const SINGLE: [(usize, usize); 9] = [(0, 0), (1, 1), (2, 2), (3, 3), (4, 4), (5, 5), (6, 6), (7, 7), (8, 8)];
 
-fn one_machine_lies(planted: Option<Planted>) -> Vec<Broken> {
-    let mut play = Play::new(&[1.0; 6], planted);
+fn one_machine_lies(injected_fault: Option<RuleFault>) -> Vec<Broken> {
+    let mut play = Play::new(&[1.0; 6], injected_fault);
     let crowd: Vec<(usize, usize)> = SINGLE.into_iter().chain((20..35).map(|node| (node, 20))).collect();
     play.seconds(30, &crowd, |machine, server| {
         Some((if machine == 20 && server == 0 { 2 } else { 0 }, None))
@@ -675,8 +675,8 @@
     judge(&play.seen, &allowed(&[1.0; 6]))
 }
 
-fn few_have_evidence(planted: Option<Planted>) -> Vec<Broken> {
-    let mut play = Play::new(&[1.0; 6], planted);
+fn few_have_evidence(injected_fault: Option<RuleFault>) -> Vec<Broken> {
+    let mut play = Play::new(&[1.0; 6], injected_fault);
     play.note(|at_ms| ill(at_ms, 0, None));
     // Sixty-two nodes call it never; seven see it fail half of its calls.
     let crowd: Vec<(usize, usize)> = (0..69).map(|n| (n, n)).collect();
@@ -688,9 +688,9 @@
     judge(&play.seen, &allowed(&[1.0; 6]))
 }
 
-fn a_server_starts_again(planted: Option<Planted>) -> Vec<Broken> {
-    let mut play = Play::new(&[1.0; 6], planted);
-    let life = |incarnation, up_ms| Some(Life { incarnation, up_ms });
+fn a_server_starts_again(injected_fault: Option<RuleFault>) -> Vec<Broken> {
+    let mut play = Play::new(&[1.0; 6], injected_fault);
+    let life = |incarnation, up_ms| Some(ServerIncarnation { incarnation, up_ms });
     play.note(|at_ms| ill(at_ms, 0, None));
     play.seconds(2, &SINGLE, |_, server| Some((2 * u32::from(server == 0), life(1, 900_000))));
     play.note(|at_ms| Seen::Restarted { at_ms, server: at(0) });
@@ -701,22 +701,22 @@
     judge(&play.seen, &allowed(&[1.0; 6]))
 }
 
-fn the_largest_server_is_ill(planted: Option<Planted>) -> Vec<Broken> {
+fn the_largest_server_is_ill(injected_fault: Option<RuleFault>) -> Vec<Broken> {
     let capacities = [9.0, 1.0, 1.0, 1.0, 1.0, 1.0];
-    let mut play = Play::new(&capacities, planted);
+    let mut play = Play::new(&capacities, injected_fault);
     play.note(|at_ms| ill(at_ms, 0, None));
     play.seconds(30, &SINGLE, |_, server| Some((2 * u32::from(server == 0), None)));
     judge(&play.seen, &allowed(&capacities))
 }
 
 #[rstest]
-#[case::a_voter_counted_twice(one_machine_lies, Planted::OneVoterTwice)]
-#[case::abstentions_counted_as_good(few_have_evidence, Planted::AbstentionsAsGood)]
-#[case::evidence_from_before_a_restart(a_server_starts_again, Planted::LivesMixed)]
-#[case::a_cap_by_number_alone(the_largest_server_is_ill, Planted::CapByNumberOnly)]
+#[case::a_voter_counted_twice(one_machine_lies, RuleFault::OneVoterTwice)]
+#[case::abstentions_counted_as_good(few_have_evidence, RuleFault::AbstentionsAsGood)]
+#[case::evidence_from_before_a_restart(a_server_starts_again, RuleFault::LivesMixed)]
+#[case::a_cap_by_number_alone(the_largest_server_is_ill, RuleFault::CapByNumberOnly)]
 fn the_checker_finds_planted_errors(
-    #[case] play: fn(Option<Planted>) -> Vec<Broken>,
-    #[case] error: Planted,
+    #[case] play: fn(Option<RuleFault>) -> Vec<Broken>,
+    #[case] error: RuleFault,
 ) {
     assert_eq!(play(None), []);
     assert_ne!(play(Some(error)), []);
