--- a/src/route/budget.rs
+++ b/src/route/budget.rs
@@ -1,33 +1,34 @@
-//! A bound on further attempts: a token bucket that calls fill, so that attempts stay a set share of them.
+//! Retry budget: a token bucket that calls fill, so that retries stay below a set share of calls.
 
-/// The most tokens, and those at the start.
-const MOST: f64 = 10.0;
-const START: f64 = 3.0;
+/// Upper bound of the bucket: the longest burst of retries.
+const MAX_TOKENS: f64 = 10.0;
+/// Tokens at the start, so that the first calls may be retried too.
+const INITIAL_TOKENS: f64 = 3.0;
 
-/// The budget of a pool.
+/// The retry budget of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    share: f64,
+    tokens_per_call: f64,
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// Further attempts come to this share of calls at the most, beside a few at the start.
-    pub fn new(share: f64) -> Self {
-        Self { share, tokens: START }
+    /// Limits retries to this share of calls, plus a few at the start.
+    pub fn new(tokens_per_call: f64) -> Self {
+        Self { tokens_per_call, tokens: INITIAL_TOKENS }
     }
 
-    /// Counts a call.
+    /// Counts a call, which adds its share of a token.
     pub fn record_call(&mut self) {
-        self.tokens = (self.tokens + self.share).min(MOST);
+        self.tokens = (self.tokens + self.tokens_per_call).min(MAX_TOKENS);
     }
 
-    /// Takes a further attempt out of it; false where it is spent.
+    /// Takes the token of one retry; returns false if there is none.
     pub fn try_take(&mut self) -> bool {
-        let may = self.tokens >= 1.0;
-        if may {
+        let available = self.tokens >= 1.0;
+        if available {
             self.tokens -= 1.0;
         }
-        may
+        available
     }
 }
--- a/src/route/mod.rs
+++ b/src/route/mod.rs
@@ -1,9 +1,9 @@
-//! The servers of a dependency and the choice among them. No I/O and no clock: times are ms of a clock that never
-//! runs backwards, randomness is given by the caller.
+//! Load balancing: the servers of a dependency and the choice among them. No I/O and no clock: times are ms of a
+//! monotonic clock, and the caller passes the random number generator.
 //!
-//! A [`Pool`] learns of each server how its times compare with the pool's, how often it fails, when it started and
-//! what is in hand there, and chooses by expected finish among a few candidates drawn at random. What other nodes say
-//! ([`crate::server_stats`]) is prior evidence beside it.
+//! A [`Pool`] tracks for each server its response times relative to the pool, its failure rate, when its process started
+//! and its calls in flight. It picks the server with the lowest expected completion time among a few random candidates.
+//! Statistics from other nodes ([`crate::server_stats`]) serve as prior evidence.
 
 mod budget;
 mod choice;
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -215,7 +215,7 @@
 #[case::of_100_mb(vec![6, 0, 0, 0, b'{'], "a frame of 100663296 bytes")]
 #[case::another_version(framed(r#"{"version":7}"#), "it speaks version 7")]
 #[case::no_number(digest("null"), "invalid type")]
-#[case::negative(digest("-500.0"), "log_time of 127.0.0.1:1: -500 cannot be")]
+#[case::negative(digest("-500.0"), "log_time of 127.0.0.1:1 is out of range: -500")]
 #[case::huge(digest("1e300"), "log_time")]
 fn a_donor_that_makes_no_sense_is_named_and_keeps_nobody_from_serving(
     #[case] says: Vec<u8>,
