--- a/src/exchange/calls.rs
+++ b/src/exchange/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of runs to the tier below.
+//! Calls that runs make to the dependency: placing them, giving their outcome back to the run, and skipping them.
 
 use bytes::Bytes;
 use log::debug;
@@ -10,6 +10,7 @@
 use crate::interface::{Effect, Event, Outcome, RequestId};
 
 impl Exchange {
+    /// Marks a run as waiting for a call, and asks the decision module whether to make it.
     pub(super) fn run_awaits_call(&mut self, try_id: TryId, notice: u64, body: Bytes) {
         let Some(&id) = self.by_try.get(&try_id) else { return };
         let Some(entry) = self.entries.get_mut(&id).filter(|entry| entry.is_running()) else { return };
@@ -18,6 +19,8 @@
         self.events.push(Event::Needs(id));
     }
 
+    /// Sends the call that a run waits for. Its timeout is the earlier of `give_up_at` and the request's due time, at
+    /// least 1 ms.
     pub(super) fn place_call(&mut self, id: RequestId, give_up_at: f64) {
         self.last_call_serial += 1;
         let now = self.clock.now();
@@ -45,6 +48,9 @@
         let _ = self.outputs.to_dependency.send(call);
     }
 
+    /// Handles the end of a call. An end whose serial is not that of the outstanding call is ignored. Only a
+    /// successful reply goes to the run; after a failure the run keeps waiting until the decision module retries or
+    /// skips the call.
     pub(super) fn call_ended(
         &mut self,
         id: RequestId,
@@ -65,6 +71,7 @@
         self.events.push(Event::Called { id, outcome, took_ms });
     }
 
+    /// Lets a run continue without the call that it waits for.
     pub(super) fn skip_call(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if let Phase::AwaitingCall(PendingCall { notice, .. }) = entry.phase {
--- a/src/exchange/handed.rs
+++ b/src/exchange/handed.rs
@@ -1,77 +1,78 @@
-//! What one process of a node hands to the next: keys with what has come of them.
+//! Messages from one process of a node to the next: idempotency keys with their outcomes, and the capacity that the
+//! requests of the old process still use.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// One thing that is handed over. All keys come ahead of the turn; behind it come those whose standing has changed.
+/// One handover message. All keys are sent before `StartServing`, and after it those whose state has changed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// A key, as it stands now.
+    /// A key with its current state.
     Key(HandedOverKey),
-    /// From here on the next process serves.
+    /// The next process serves from now on.
     #[serde(rename = "Turn")]
     StartServing(StartServing),
-    /// Behind the turn, what the requests that stay over there take by now.
+    /// Sent after `StartServing`: the resources that the requests of the old process use now.
     #[serde(rename = "Room")]
     Resources(PredecessorResources),
 }
 
-/// Room of the node that requests take which stay with the process before.
+/// Resources of the node that are used by requests which finish in the previous process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PredecessorResources {
-    /// Memory that is booked for them, in kB.
+    /// Memory reserved for them, in kB.
     pub booked_kb: f64,
-    /// Those that are on the cores or at calls, from which they come back.
+    /// Requests that run on the cores, or wait for a call after which they use the cores again.
     #[serde(default)]
     pub runs: u32,
-    /// Calls in the hands of what lies below, and those that may linger there.
+    /// Calls outstanding at the dependency, and abandoned ones that may still be running there.
     #[serde(default)]
     pub calls: u32,
 }
 
-/// A key that tries of one request bear.
+/// An idempotency key, shared by all tries of one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HandedOverKey {
-    /// The name of its class.
+    /// Name of its class.
     pub class: String,
-    /// The key.
+    /// The key as its callers send it.
     pub operation: String,
-    /// The body of its tries, in short.
+    /// Digest of the body, which all tries under the key share.
     pub digest: u64,
-    /// Requests that arrive later than this are no repeats, in Unix ms on the clock of the process that hands it over.
-    /// Versions that know of no spans read it; a wall clock that was stepped makes it another time for the next process.
+    /// End of the repeat window, in Unix ms on the sender's clock: requests that arrive later are not repeats. Read
+    /// only by versions without `left_ms`; if the wall clock is stepped, it is a different time for the next process.
     pub until: f64,
-    /// How long from now on requests that arrive are repeats, in ms. Versions that know of no spans do not say.
+    /// Time left in the repeat window, in ms. Older versions do not send it.
     #[serde(default)]
     pub left_ms: Option<f64>,
-    /// What has come of it.
+    /// What is known of its run.
     #[serde(rename = "standing")]
     pub state: HandedOverState,
 }
 
-/// What has come of a key.
+/// What the previous process knows of the run of a key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HandedOverState {
-    /// Held or running over there.
+    /// Held or running in the previous process.
     Open,
-    /// Over, with this result.
+    /// Finished with this result.
     Served(#[serde(with = "crate::base64")] Bytes),
-    /// Over, without one.
+    /// Finished without a result.
     Failed,
-    /// It never ran: it is anyone's again.
+    /// It never ran: any request may use the key.
     Free,
 }
 
-/// What the next process needs beside the keys.
+/// What the next process needs besides the keys to start serving.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StartServing {
-    /// What bodies are shortened with.
+    /// Seed of the body digests: the digests of both processes must agree.
     pub seed: u64,
-    /// What the requests that stay over there take.
+    /// Resources that the requests of the old process still use.
     #[serde(flatten)]
     pub resources: PredecessorResources,
-    /// Whether the node has been told to send clients away, at the door and in the store.
+    /// Whether standby was set at the admin interface.
     pub standby: bool,
-    /// The same in the store.
+    /// Whether maintenance was set in the store.
     pub maintenance: bool,
 }
--- a/src/exchange/inquiry.rs
+++ b/src/exchange/inquiry.rs
@@ -1,8 +1,8 @@
-//! Runs whose callers have been answered or have left, and whose end the processor has not told.
+//! Queries to the processor about runs whose callers were answered or have left, and whose end it has not reported.
 //!
-//! Such a run goes on, for all that is known: it holds its permit and its memory until there is proof of its end. Silence is
-//! none. The processor is asked by a further command to begin the run: one that runs ignores it, and one that is over, or
-//! that the processor has forgotten, is answered with `void` or a rejection.
+//! Such a run is assumed to be running: it keeps its permit and its memory until its end is confirmed. Silence does
+//! not confirm it. The query is a repeated command to begin the run: the processor ignores it while the run goes on,
+//! and replies `void` or a rejection if the run has ended or if it no longer knows the run.
 
 use bytes::Bytes;
 use tokio_util::time::delay_queue;
@@ -14,46 +14,48 @@
 use crate::fault_injection::{self, InjectedFault};
 use crate::interface::{Outcome, RequestId};
 
-/// The first question comes this many deadlines of the class after the caller has surely given the request up: before, a run
-/// that is over might be begun a second time.
-const FIRST_DEADLINES: f64 = 1.0;
-/// The least time before the first question and between two of them, in ms. The time between two doubles up to the most.
-const LEAST_MS: f64 = 500.0;
-const MOST_MS: f64 = 4_000.0;
+/// The first query is sent this many deadlines of the class after the caller has certainly given up: an earlier one
+/// might begin a finished run a second time.
+const FIRST_DELAY_DEADLINES: f64 = 1.0;
+/// Bounds of the delay before the first query and of the interval between queries, in ms. The interval doubles with
+/// each query.
+const MIN_INTERVAL_MS: f64 = 500.0;
+const MAX_INTERVAL_MS: f64 = 4_000.0;
 
-/// The questions about one run.
+/// State of the queries about one run.
 pub(super) struct Inquiry {
-    /// The wait for the next one.
-    next: delay_queue::Key,
-    /// The earliest time for it, by the exchange's clock, and the time to the one behind it, in ms.
-    from: f64,
-    gap_ms: f64,
-    /// Whether one was put: what the processor says of the run from then on may be the answer.
-    asked: bool,
+    /// Timer of the next query.
+    timer: delay_queue::Key,
+    /// Earliest time of the first query, by the exchange's clock, and the interval to the next one, in ms.
+    earliest_at: f64,
+    interval_ms: f64,
+    /// Whether a query was sent: from then on a message of the processor about the run may be the reply to it.
+    query_sent: bool,
 }
 
 impl Exchange {
-    /// Nobody waits for the end of this run any more: it is asked about in time.
+    /// Schedules the first query about a run that no caller waits for any more.
     pub(super) fn schedule_inquiry(&mut self, id: RequestId) {
         let now = self.clock.now();
         let Some(entry) = self.entries.get(&id).filter(|entry| entry.inquiry.is_none()) else { return };
         let deadline_ms = self.site.settings.classes[entry.class].deadline_ms;
-        let gap_ms = (FIRST_DEADLINES * deadline_ms).clamp(LEAST_MS, MOST_MS);
-        let from = entry.given_up_by.max(now) + gap_ms;
-        let next = self.timers.insert(Timer::RunInquiry(id), span(from - now));
+        let interval_ms = (FIRST_DELAY_DEADLINES * deadline_ms).clamp(MIN_INTERVAL_MS, MAX_INTERVAL_MS);
+        let earliest_at = entry.given_up_by.max(now) + interval_ms;
+        let timer = self.timers.insert(Timer::RunInquiry(id), span(earliest_at - now));
         if let Some(entry) = self.entries.get_mut(&id) {
-            entry.inquiry = Some(Inquiry { next, from, gap_ms, asked: false });
+            entry.inquiry = Some(Inquiry { timer, earliest_at, interval_ms, query_sent: false });
         }
     }
 
-    /// Nobody waits for this result any more, and its copies are late.
+    /// Schedules the end of the wait for the replication of a result that no caller waits for any more.
     pub(super) fn await_replication(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get(&id) else { return };
         let deadline_ms = self.site.settings.classes[entry.class].deadline_ms;
-        self.timers.insert(Timer::RunInquiry(id), span(deadline_ms.max(LEAST_MS)));
+        self.timers.insert(Timer::RunInquiry(id), span(deadline_ms.max(MIN_INTERVAL_MS)));
     }
 
-    /// Asks the processor about a run. While it answers nothing else either, no question is put: they would only pile up.
+    /// Queries the processor about a run, unless the processor is not answering at all: queries would only pile up. A
+    /// run that only waits for replication is finished instead.
     pub(super) fn query_run(&mut self, id: RequestId) {
         let now = self.clock.now();
         let is_silent = matches!(self.gauge_query, Some((_, None)));
@@ -65,35 +67,36 @@
         if fault_injection::is_active(InjectedFault::PermitByTimer) {
             return self.run_ended(try_id, Outcome::Error, 0.0, Bytes::new());
         }
-        let asks = !is_silent && now >= inquiry.from;
-        let wait_ms = (inquiry.from - now).max(inquiry.gap_ms);
-        inquiry.next = self.timers.insert(Timer::RunInquiry(id), span(wait_ms));
-        if !asks {
+        let sends_now = !is_silent && now >= inquiry.earliest_at;
+        let wait_ms = (inquiry.earliest_at - now).max(inquiry.interval_ms);
+        inquiry.timer = self.timers.insert(Timer::RunInquiry(id), span(wait_ms));
+        if !sends_now {
             return;
         }
-        inquiry.gap_ms = (2.0 * inquiry.gap_ms).min(MOST_MS);
-        if !std::mem::replace(&mut inquiry.asked, true) {
+        inquiry.interval_ms = (2.0 * inquiry.interval_ms).min(MAX_INTERVAL_MS);
+        if !std::mem::replace(&mut inquiry.query_sent, true) {
             self.record_anomaly(Anomaly::RunOutlastsCaller, try_id);
         }
-        self.command_begin(id);
+        self.send_begin(id);
     }
 
-    /// The processor has a new link, or has started anew: what it knows of runs that nobody waits for is asked at once.
+    /// Moves all queries up to their earliest time, as the processor has reconnected or restarted and may no longer
+    /// know the runs.
     pub(super) fn query_all_runs(&mut self) {
         for inquiry in self.entries.values().filter_map(|entry| entry.inquiry.as_ref()) {
-            self.timers.reset(&inquiry.next, span(inquiry.from - self.clock.now()));
+            self.timers.reset(&inquiry.timer, span(inquiry.earliest_at - self.clock.now()));
         }
     }
 
-    /// What an end that the processor tells means for a run. Behind a question, that nothing was begun says only that the
-    /// run is over: it may have had its effect.
-    pub(super) fn outcome_by(&mut self, id: RequestId, told: Outcome) -> Outcome {
-        let Some(Entry { try_id, inquiry, .. }) = self.entries.get_mut(&id) else { return told };
+    /// Returns the outcome that a reported end stands for. After a query, a report that nothing was begun only means
+    /// that the run is over: it may have had its effect, so it counts as an error.
+    pub(super) fn resolve_outcome(&mut self, id: RequestId, reported: Outcome) -> Outcome {
+        let Some(Entry { try_id, inquiry, .. }) = self.entries.get_mut(&id) else { return reported };
         let try_id = *try_id;
-        let Some(inquiry) = inquiry.take() else { return told };
-        self.timers.try_remove(&inquiry.next);
-        if told != Outcome::Moot || !inquiry.asked {
-            return told;
+        let Some(inquiry) = inquiry.take() else { return reported };
+        self.timers.try_remove(&inquiry.timer);
+        if reported != Outcome::Moot || !inquiry.query_sent {
+            return reported;
         }
         self.record_anomaly(Anomaly::RunUnknownToProcessor, try_id);
         Outcome::Error
--- a/src/exchange/lifecycle.rs
+++ b/src/exchange/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a node: the processor comes up, settings change, the notice to leave comes.
+//! Changes of the node's state: the processor connects, settings change, the node drains.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,21 +13,22 @@
 use crate::interface::Event;
 use crate::logic::Controller;
 
-/// How long before a request is due it is answered whatever the decision module does, in ms.
+/// A request is answered this long before it is due even if the decision module has not decided, in ms.
 pub(super) const FAILSAFE_MARGIN_MS: f64 = 20.0;
-/// How much sooner than its process is stopped a node is done with all requests, in ms.
+/// All requests are answered this long before the process is stopped, in ms.
 const STOP_MARGIN_MS: f64 = 250.0;
-/// A class that was dropped is served for this long still: front ends hear of it a second or two late.
-const RETIRES: Duration = Duration::from_secs(3);
-/// A start of the processor that it tells this much later than the one before is another, in ms: the way of its word.
-const RESTARTED_MS: f64 = 500.0;
+/// A removed class is still served for this long, as front ends learn of the removal a second or two late.
+const RETIRED_CLASS_GRACE: Duration = Duration::from_secs(3);
+/// Start times reported by the processor that differ by more than this, in ms, are different starts. Smaller
+/// differences come from the delay of the messages.
+const MIN_RESTART_GAP_MS: f64 = 500.0;
 
 impl Exchange {
-    /// The notice to leave: what is open is answered before the process is stopped.
+    /// Starts to drain: all open requests are answered before the process is stopped.
     pub(super) fn drain(&mut self, stop_in_ms: f64) {
-        info!("draining: {} requests open, {stop_in_ms} ms to the stop", self.entries.len());
+        info!("draining: {} requests open, the process is stopped in {stop_in_ms} ms", self.entries.len());
         self.draining = true;
-        // The process may be stopped before the next report is due.
+        // The process may be stopped before the next regular report.
         self.anomalies.hurry();
         self.report_anomalies();
         self.grace_ends = self.grace_ends.min(self.clock.now() + self.site.settings.drain_grace_ms);
@@ -37,68 +38,70 @@
         }
     }
 
-    /// Has all that is open answered by then, however long its callers would wait.
+    /// Has all open requests answered by `stop_at`, even if their callers would wait longer.
     pub(super) fn answer_all_by(&mut self, stop_at: f64) {
-        // A further notice does not put the stop off.
+        // A repeated notice does not postpone the stop.
         let stop_at = self.stop_at.min(stop_at);
         self.stop_at = stop_at;
-        let left = self.failsafe_delay(stop_at);
+        let delay = self.failsafe_delay(stop_at);
         for entry in self.entries.values_mut().filter(|entry| entry.due > stop_at) {
             entry.due = stop_at;
             if let Some(failsafe) = &entry.failsafe_timer {
-                self.timers.reset(failsafe, left);
+                self.timers.reset(failsafe, delay);
             }
         }
         self.events.push(Event::Drain { stop_at });
     }
 
-    /// How long the failsafe of a request that is due then has to wait.
+    /// Time until the failsafe of a request that is due at `due`.
     pub(super) fn failsafe_delay(&self, due: f64) -> Duration {
         span(due - FAILSAFE_MARGIN_MS - self.clock.now())
     }
 
-    /// Works on under new settings. Callers hear of them later than the node: for a while a class that was
-    /// dropped is served beside those that were added.
+    /// Applies new settings. Callers learn of them later than the node, so a removed class is served for a while next
+    /// to the added ones.
     pub(super) fn apply_settings(&mut self, new: Site) {
         let mut site = self.site.retuned(new);
-        // What the processor said of itself at its start holds whatever the new file says.
+        // A processor that reported a cold start stays cold, whatever the new file says.
         site.settings.cold |= self.site.settings.cold;
         if let Err(problem) = self.controller.update_settings(site.settings.clone()) {
-            return warn!("the settings stay as they were: {problem}");
+            return warn!("new settings rejected, the previous ones stay in force: {problem}");
         }
         for (class, (old, new)) in self.site.settings.classes.iter().zip(&site.settings.classes).enumerate() {
             self.idempotency.extend_windows(class, new.window_ms - old.window_ms);
         }
         if site.settings.say != self.site.settings.say {
-            // Guards against a value that callers take for another one; the module tells the next in a period.
+            // Callers would misread a value of the old kind. The decision module sends a new one within a period.
             self.node_status.level = None;
         }
         self.site = site;
         self.settings_revision += 1;
         self.publish_catalog(true);
-        self.timers.insert(Timer::RetiredClasses(self.settings_revision), RETIRES);
+        self.timers.insert(Timer::RetiredClasses(self.settings_revision), RETIRED_CLASS_GRACE);
     }
 
+    /// Publishes the catalog of classes that requests may name, with or without removed ones that are still served.
     pub(super) fn publish_catalog(&self, with_retired: bool) {
         self.outputs.catalog_sender.send_replace(Rc::new(Catalog::of(&self.site, with_retired)));
     }
 
-    /// Shows how the node stands after a change of what it wants or is told.
+    /// Updates whether the node reports itself healthy and ready.
     pub(super) fn update_status(&mut self) {
-        let wished_away = self.maintenance || self.node_status.standby;
-        self.node_status.healthy = self.wants_traffic && !wished_away;
+        let away_requested = self.maintenance || self.node_status.standby;
+        self.node_status.healthy = self.wants_traffic && !away_requested;
         self.node_status.ready =
-            self.processor_is_up && !self.draining && self.successor.is_none() && !wished_away;
+            self.processor_is_up && !self.draining && self.successor.is_none() && !away_requested;
     }
 
-    /// Starts the decision module with the processor, whose age tells how far it has warmed. One that has started anew
-    /// since is cold once more; what the module has learned stays.
+    /// Handles a processor that has connected, `age_ms` after its start, which tells how far it has warmed up. On the
+    /// first connection the decision module is started; after a cold restart it is told that the cores are cold, and
+    /// keeps what it has learned.
     pub(super) fn processor_up(&mut self, cold: bool, age_ms: f64) {
         self.query_all_runs();
         let started = self.clock.now() - age_ms.max(0.0);
-        let before = std::mem::replace(&mut self.processor_started_at, started);
-        if self.processor_is_up && cold && started - before > RESTARTED_MS {
-            info!("the processor has started anew, cold, since {age_ms} ms");
+        let previous_start = std::mem::replace(&mut self.processor_started_at, started);
+        if self.processor_is_up && cold && started - previous_start > MIN_RESTART_GAP_MS {
+            info!("the processor has restarted cold {age_ms} ms ago");
             self.site.settings.cold = true;
             let _ = self.controller.update_settings(self.site.settings.clone());
             self.controller.set_cold_start(started);
--- a/src/exchange/succession.rs
+++ b/src/exchange/succession.rs
@@ -1,5 +1,5 @@
-//! One process of a node after the other: the old one hands its keys over and finishes what it has open, the new
-//! one runs nothing that the old one may have run.
+//! Handover from one process of a node to the next. The old process sends its idempotency keys and finishes its open
+//! requests; the new one runs nothing that the old one may have run.
 
 use log::{info, warn};
 use tokio::sync::mpsc;
@@ -9,57 +9,58 @@
 use super::handed::{HandedOverKey, HandedOverState, HandoverMessage, PredecessorResources, StartServing};
 use super::idempotency::{Key, KeyState};
 use super::next_request_id;
-use super::runs::whole_ms;
+use super::runs::repeat_window_ms;
 use super::time::span;
 use crate::interface::RequestId;
 use crate::logic::ReservedCapacity;
 
-/// No window that is handed over lasts longer than this, in ms: 30 days.
-const MOST_LEFT_MS: f64 = 30.0 * 86_400_000.0;
+/// Upper bound of a repeat window that is handed over, in ms: 30 days.
+const MAX_WINDOW_LEFT_MS: f64 = 30.0 * 86_400_000.0;
 
-/// Time over which the most that wanted a core bounds the runs that are left, in ms: longer than a run waits for a disk.
-const REMAINS_WINDOW_MS: f64 = 1_000.0;
+/// Period over which the peak of `on_cores` bounds the number of runs that the previous process left, in ms. It is
+/// longer than a run waits for a disk, so that such a run, which wants no core meanwhile, is not missed.
+const PEAK_PERIOD_MS: f64 = 1_000.0;
 
-/// What the gauges have shown since the process before ended.
+/// Estimates from the gauges how many runs of a process that has ended are still on the processor.
 pub(super) struct OrphanedRunEstimate {
     since: f64,
-    most: f64,
+    peak: f64,
 }
 
 impl OrphanedRunEstimate {
-    fn watched_from(now: f64) -> Self {
-        Self { since: now, most: 0.0 }
+    fn starting_at(now: f64) -> Self {
+        Self { since: now, peak: 0.0 }
     }
 
-    /// Takes a reading; at the end of each window, how many runs may be left.
-    fn look(&mut self, now: f64, on_cores: f64) -> Option<u32> {
-        self.most = self.most.max(on_cores);
-        if now - self.since < REMAINS_WINDOW_MS {
+    /// Takes a gauge reading. At the end of each period, returns how many runs may be left.
+    fn sample(&mut self, now: f64, on_cores: f64) -> Option<u32> {
+        self.peak = self.peak.max(on_cores);
+        if now - self.since < PEAK_PERIOD_MS {
             return None;
         }
-        let most = std::mem::replace(self, Self::watched_from(now)).most;
-        Some(most.floor() as u32)
+        let peak = std::mem::replace(self, Self::starting_at(now)).peak;
+        Some(peak.floor() as u32)
     }
 }
 
 impl Exchange {
-    /// Tells the next process all keys, and that it is to serve from here on.
+    /// Sends all keys to the next process and tells it to serve from now on.
     pub(super) fn hand_over(&mut self, successor: mpsc::UnboundedSender<HandoverMessage>) {
         info!("handing over with {} requests open", self.entries.len());
         self.successor = Some(successor);
         let keys: Vec<Key> = self.idempotency.operations().cloned().collect();
         keys.iter().for_each(|key| self.hand_over_key(key));
-        self.tell_successor(HandoverMessage::StartServing(StartServing {
+        self.send_to_successor(HandoverMessage::StartServing(StartServing {
             seed: self.idempotency.seed(),
-            resources: self.room(),
+            resources: self.resources(),
             standby: self.node_status.standby,
             maintenance: self.maintenance,
         }));
         self.update_status();
     }
 
-    /// What the requests of this process take.
-    fn room(&self) -> PredecessorResources {
+    /// Resources that the requests of this process use.
+    fn resources(&self) -> PredecessorResources {
         let controller = &self.controller;
         PredecessorResources {
             booked_kb: controller.booked_kb(),
@@ -68,22 +69,23 @@
         }
     }
 
-    /// Tells the next process, where there is one, what is still taken here.
+    /// Sends the resources that are still used here to the next process, if there is one and they have changed.
     pub(super) fn report_resources(&mut self) {
-        let room = self.room();
-        if self.successor.is_some() && std::mem::replace(&mut self.reported_resources, room) != room {
-            self.tell_successor(HandoverMessage::Resources(room));
+        let resources = self.resources();
+        if self.successor.is_some() && std::mem::replace(&mut self.reported_resources, resources) != resources
+        {
+            self.send_to_successor(HandoverMessage::Resources(resources));
         }
     }
 
-    fn tell_successor(&self, handed: HandoverMessage) {
+    fn send_to_successor(&self, message: HandoverMessage) {
         if let Some(successor) = &self.successor {
-            // Where it has ended, nobody is left to be told.
-            let _ = successor.send(handed);
+            // Fails only if the next process has ended.
+            let _ = successor.send(message);
         }
     }
 
-    /// Tells the next process, where there is one, how a key stands.
+    /// Sends the state of a key to the next process, if there is one.
     pub(super) fn hand_over_key(&self, key: &Key) {
         let (Some(_), Key::Operation(class, operation)) = (&self.successor, key) else { return };
         let row = self.idempotency.record(key);
@@ -95,13 +97,13 @@
         };
         let now = self.clock.now();
         let received = row.and_then(|row| self.entries.get(&row.holder)).map_or(now, |entry| entry.received);
-        // One that is held still may begin over here: its window is that of a run.
+        // A held request may still begin in this process, so its window is that of a run.
         let until = match row.map(|row| row.until) {
             Some(until) if until.is_finite() => until,
             Some(_) => self.repeat_window_end(*class, received),
             None => 0.0,
         };
-        self.tell_successor(HandoverMessage::Key(HandedOverKey {
+        self.send_to_successor(HandoverMessage::Key(HandedOverKey {
             class: self.site.classes[*class].clone(),
             operation: operation.to_string(),
             digest: row.map_or(0, |row| row.digest),
@@ -111,97 +113,104 @@
         }));
     }
 
-    /// Takes what the process before hands over.
-    pub(super) fn receive_handover(&mut self, handed: HandoverMessage) {
-        match handed {
-            HandoverMessage::Key(key) => self.take_key(key),
-            HandoverMessage::StartServing(turn) => {
+    /// Handles a message of the previous process.
+    pub(super) fn receive_handover(&mut self, message: HandoverMessage) {
+        match message {
+            HandoverMessage::Key(key) => self.adopt_key(key),
+            HandoverMessage::StartServing(start) => {
                 info!("taking over with {} keys", self.idempotency.operations().count());
-                self.idempotency.set_seed(turn.seed);
-                self.predecessor_resources = turn.resources;
+                self.idempotency.set_seed(start.seed);
+                self.predecessor_resources = start.resources;
                 self.reserve_predecessor_resources();
-                self.node_status.standby = turn.standby;
-                self.maintenance = turn.maintenance;
+                self.node_status.standby = start.standby;
+                self.maintenance = start.maintenance;
                 self.update_status();
             }
-            HandoverMessage::Resources(room) => {
-                self.predecessor_resources = room;
+            HandoverMessage::Resources(resources) => {
+                self.predecessor_resources = resources;
                 self.reserve_predecessor_resources();
             }
         }
     }
 
-    fn take_key(&mut self, handed: HandedOverKey) {
+    /// Enters a key of the previous process in the idempotency table, or updates its state.
+    fn adopt_key(&mut self, handed: HandedOverKey) {
         let HandedOverKey { class, operation, digest, left_ms, state, .. } = handed;
-        // Where the class is gone nobody can ask for it.
+        // No request can name a class that no longer exists.
         let Some(class) = self.site.classes.iter().position(|name| *name == class) else { return };
         let key = Key::Operation(class, operation.into());
         let holder = self.predecessor_keys.get(&key).copied();
         if state == HandedOverState::Free {
             if let Some(holder) = holder {
-                self.end_foreign(&key, holder, KeyState::Failed);
+                self.end_predecessor_key(&key, holder, KeyState::Failed);
                 self.idempotency.expire(&key, holder);
             }
             return;
         }
         let holder = holder.unwrap_or_else(|| {
             let holder = next_request_id(&self.next_id);
-            let left_ms = self.left_of_window(class, left_ms);
+            let left_ms = self.remaining_window_ms(class, left_ms);
             self.idempotency.adopt(key.clone(), holder, self.clock.now() + left_ms, digest);
             self.predecessor_keys.insert(key.clone(), holder);
-            let lasts_ms = left_ms + self.site.settings.classes[class].deadline_ms;
-            self.timers.insert(Timer::KeyExpiry(key.clone(), holder), span(lasts_ms));
+            let keep_ms = left_ms + self.site.settings.classes[class].deadline_ms;
+            self.timers.insert(Timer::KeyExpiry(key.clone(), holder), span(keep_ms));
             holder
         });
         match state {
-            HandedOverState::Served(result) => self.end_foreign(&key, holder, KeyState::Served(result)),
-            HandedOverState::Failed => self.end_foreign(&key, holder, KeyState::Failed),
+            HandedOverState::Served(result) => {
+                self.end_predecessor_key(&key, holder, KeyState::Served(result))
+            }
+            HandedOverState::Failed => self.end_predecessor_key(&key, holder, KeyState::Failed),
             HandedOverState::Open | HandedOverState::Free => {}
         }
     }
 
-    /// How long the window of a key lasts from its hand-over on, in ms: as long as the process before says, and at least
-    /// the whole window where that is of a version that names a time of its own clock alone.
-    fn left_of_window(&self, class: usize, left_ms: Option<f64>) -> f64 {
-        let told = left_ms.filter(|ms| ms.is_finite()).map(|ms| ms.clamp(0.0, MOST_LEFT_MS));
-        told.unwrap_or_else(|| whole_ms(&self.site.settings, class))
+    /// Time left in the repeat window of a key that is handed over, in ms, as the previous process reports it. If
+    /// that process is of a version that sends only a time of its own clock, the whole window, which is never too
+    /// short.
+    fn remaining_window_ms(&self, class: usize, left_ms: Option<f64>) -> f64 {
+        let reported = left_ms.filter(|ms| ms.is_finite()).map(|ms| ms.clamp(0.0, MAX_WINDOW_LEFT_MS));
+        reported.unwrap_or_else(|| repeat_window_ms(&self.site.settings, class))
     }
 
-    /// What another process had in hand is over: those that wait for it here are answered.
-    fn end_foreign(&mut self, key: &Key, holder: RequestId, state: KeyState) {
+    /// Ends a key that the previous process had open, and answers the requests that wait for it here.
+    fn end_predecessor_key(&mut self, key: &Key, holder: RequestId, state: KeyState) {
         self.predecessor_keys.remove(key);
         let waiting = self.idempotency.end(key, holder, state.clone(), None);
         self.share_with_waiting(waiting, &state);
     }
 
-    /// The process before has ended. What it has not told the end of may have run, and has no result. Runs that it had on the
-    /// processor go on there: the room that they take is given back as the gauges show that they have ended. Its calls are
-    /// given up, as its connections are closed, and linger.
+    /// Handles the end of the previous process. Keys whose end it did not report may have run, and fail. Runs that it
+    /// left on the processor go on: their resources are released as the gauges show that they have ended. Its calls
+    /// were given up with its connections, but may still be running at the dependency.
     pub(super) fn predecessor_ended(&mut self) {
         let PredecessorResources { booked_kb, runs, calls } = std::mem::take(&mut self.predecessor_resources);
         self.controller.add_lingering_calls(self.clock.now(), calls);
         if runs > 0 {
-            warn!("the process before has left {runs} runs with {booked_kb:.0} kB behind");
+            warn!(
+                "the previous process has left {runs} runs with {booked_kb:.0} kB: their capacity stays reserved"
+            );
             self.predecessor_resources = PredecessorResources { booked_kb, runs, calls: 0 };
-            self.orphaned_runs = Some(OrphanedRunEstimate::watched_from(self.clock.now()));
+            self.orphaned_runs = Some(OrphanedRunEstimate::starting_at(self.clock.now()));
         }
         self.reserve_predecessor_resources();
         for (key, holder) in std::mem::take(&mut self.predecessor_keys) {
-            self.end_foreign(&key, holder, KeyState::Failed);
+            self.end_predecessor_key(&key, holder, KeyState::Failed);
         }
     }
 
-    /// Reckons what is left of the runs of a process that has ended: no more than wanted a core at any time of late. None of
-    /// them is at a call, as nobody is there to answer it.
+    /// Lowers the number of runs that the previous process left to the recent peak of runs that wanted a core. None
+    /// of them waits for a call, as no process is there to answer it.
     pub(super) fn update_orphaned_runs(&mut self, on_cores: Option<f64>) {
         let now = self.clock.now();
-        let (Some(remains), Some(on_cores)) = (&mut self.orphaned_runs, on_cores) else { return };
-        let Some(left) = remains.look(now, on_cores).filter(|left| *left < self.predecessor_resources.runs)
+        let (Some(estimate), Some(on_cores)) = (&mut self.orphaned_runs, on_cores) else { return };
+        let Some(left) =
+            estimate.sample(now, on_cores).filter(|left| *left < self.predecessor_resources.runs)
         else {
             return;
         };
         if left == 0 {
-            info!("nothing of the process before is left on the cores");
+            info!("no run of the previous process is left on the cores: its reserved capacity is free");
             self.orphaned_runs = None;
             self.predecessor_resources = PredecessorResources::default();
         } else {
@@ -210,7 +219,8 @@
         self.reserve_predecessor_resources();
     }
 
-    /// Leaves the decision module the memory, the crowd on the cores and the calls that the process before does not take.
+    /// Reserves in the decision module the memory, the concurrency on the cores and the calls that the previous
+    /// process still uses.
     pub(super) fn reserve_predecessor_resources(&mut self) {
         let PredecessorResources { booked_kb, runs, calls } = self.predecessor_resources;
         self.controller.set_reserved(ReservedCapacity { booked_kb, runs, calls });
--- a/tests/history.rs
+++ b/tests/history.rs
@@ -1,4 +1,5 @@
-//! The checker of histories: it passes what a register can show, and finds each way to break it.
+//! Tests of the linearizability checker: it accepts histories of a linearizable register and finds each kind of
+//! violation.
 
 mod rig;
 mod support;
@@ -14,7 +15,7 @@
     event(Op::Set { value, expect: None }, Seen::Set(version), began, ended)
 }
 
-fn maybe(value: u64, began: u64, ended: u64) -> Event {
+fn set_unknown(value: u64, began: u64, ended: u64) -> Event {
     event(Op::Set { value, expect: None }, Seen::Unknown, began, ended)
 }
 
@@ -27,36 +28,36 @@
 }
 
 #[rstest]
-#[case::in_turn(vec![get(None, 0, 1), set(1, 5, 2, 3), get(Some((1, 5)), 4, 5)])]
-#[case::read_while_it_is_written(vec![set(1, 5, 0, 9), get(None, 1, 2), get(Some((1, 5)), 3, 4)])]
-#[case::two_writes_at_once_in_either_order(vec![set(1, 6, 0, 9), set(2, 5, 0, 9), get(Some((1, 6)), 10, 11)])]
-#[case::unknown_and_never_done(vec![set(1, 5, 0, 1), maybe(2, 2, 3), get(Some((1, 5)), 4, 5)])]
-#[case::unknown_and_done_later(vec![set(1, 5, 0, 1), maybe(2, 2, 3), get(Some((1, 5)), 4, 5), get(Some((2, 9)), 6, 7)])]
-#[case::a_mismatch_tells_the_version(vec![set(1, 5, 0, 1), cas(2, 4, Seen::Mismatch(5), 2, 3)])]
-#[case::a_change_where_it_fits(vec![set(1, 5, 0, 1), cas(2, 5, Seen::Set(6), 2, 3), get(Some((2, 6)), 4, 5)])]
-fn what_a_register_can_show_passes(#[case] events: Vec<Event>) {
+#[case::sequential(vec![get(None, 0, 1), set(1, 5, 2, 3), get(Some((1, 5)), 4, 5)])]
+#[case::read_during_a_write(vec![set(1, 5, 0, 9), get(None, 1, 2), get(Some((1, 5)), 3, 4)])]
+#[case::concurrent_writes_in_either_order(vec![set(1, 6, 0, 9), set(2, 5, 0, 9), get(Some((1, 6)), 10, 11)])]
+#[case::unknown_write_never_applied(vec![set(1, 5, 0, 1), set_unknown(2, 2, 3), get(Some((1, 5)), 4, 5)])]
+#[case::unknown_write_applied_later(vec![set(1, 5, 0, 1), set_unknown(2, 2, 3), get(Some((1, 5)), 4, 5), get(Some((2, 9)), 6, 7)])]
+#[case::mismatch_reports_the_version(vec![set(1, 5, 0, 1), cas(2, 4, Seen::Mismatch(5), 2, 3)])]
+#[case::compare_and_set_that_matches(vec![set(1, 5, 0, 1), cas(2, 5, Seen::Set(6), 2, 3), get(Some((2, 6)), 4, 5)])]
+fn linearizable_histories_pass(#[case] events: Vec<Event>) {
     assert!(violations(&events).is_empty());
 }
 
 #[rstest]
-#[case::a_write_that_was_acknowledged_is_gone(vec![set(1, 5, 0, 1), get(None, 2, 3)])]
+#[case::acknowledged_write_is_lost(vec![set(1, 5, 0, 1), get(None, 2, 3)])]
 #[case::an_old_value_after_a_new_one(vec![set(1, 5, 0, 1), set(2, 6, 2, 3), get(Some((1, 5)), 4, 5)])]
-#[case::a_read_that_goes_back(vec![set(1, 5, 0, 1), set(2, 6, 2, 9), get(Some((2, 6)), 3, 4), get(Some((1, 5)), 5, 6)])]
-#[case::a_value_that_nobody_wrote(vec![set(1, 5, 0, 1), get(Some((7, 5)), 2, 3)])]
-#[case::what_was_said_not_to_be_done_was(vec![
+#[case::read_goes_back(vec![set(1, 5, 0, 1), set(2, 6, 2, 9), get(Some((2, 6)), 3, 4), get(Some((1, 5)), 5, 6)])]
+#[case::value_that_nobody_wrote(vec![set(1, 5, 0, 1), get(Some((7, 5)), 2, 3)])]
+#[case::write_applied_though_reported_not_done(vec![
     event(Op::Set { value: 3, expect: None }, Seen::Nothing, 0, 1), get(Some((3, 4)), 2, 3)])]
-#[case::a_change_is_made_twice(vec![
-    maybe(1, 0, 1), get(Some((1, 4)), 2, 3), set(2, 5, 4, 5), get(Some((1, 6)), 6, 7)])]
+#[case::write_applied_twice(vec![
+    set_unknown(1, 0, 1), get(Some((1, 4)), 2, 3), set(2, 5, 4, 5), get(Some((1, 6)), 6, 7)])]
 #[case::two_changes_of_one_version(vec![
     set(1, 5, 0, 1), cas(2, 5, Seen::Set(6), 2, 3), cas(3, 5, Seen::Set(7), 4, 5)])]
 #[case::two_first_writers(vec![cas(1, 0, Seen::Set(4), 0, 3), cas(2, 0, Seen::Set(5), 0, 3)])]
-#[case::a_version_that_goes_back(vec![set(1, 5, 0, 1), set(2, 4, 2, 3)])]
-fn what_no_register_can_show_is_found(#[case] events: Vec<Event>) {
+#[case::version_goes_back(vec![set(1, 5, 0, 1), set(2, 4, 2, 3)])]
+fn violations_are_found(#[case] events: Vec<Event>) {
     assert_eq!(violations(&events), [0]);
 }
 
 #[rstest]
-fn one_key_is_judged_apart_from_another() {
+fn keys_are_checked_independently() {
     let other = Event { key: 1, ..get(None, 2, 3) };
     assert!(violations(&[set(1, 5, 0, 1), other]).is_empty());
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -399,7 +399,7 @@
         assert_eq!(front.answer().word, "error", "its name is in use while it may run");
     }
     node.logged("a spell begins: runs that go on long after their callers were answered or left");
-    node.logged("1 runs go on though their callers are gone");
+    node.logged("1 runs outlast their callers");
     node.processor.end(&req, "void");
     node.logged("no run outlasts its caller any more");
     let answer = loop {
--- a/tests/races_core.rs
+++ b/tests/races_core.rs
@@ -1,5 +1,6 @@
-//! Crossings in the core: repeats, settings that change between a run and its repeat, requests that are given up, and
-//! processes of a node that follow each other in every order. Each side holds still at the point in question.
+//! Races in the core: repeats, settings that change between a run and its repeat, requests that are given up, and
+//! handovers between processes of a node in every order. The tests stop client side and server
+//! side at the point of the race.
 
 mod support;
 
@@ -11,10 +12,10 @@
 use support::resp::FrontEnd;
 use support::{Node, config, settings, try_id, unix_ms};
 
-const KEYED: usize = 2;
+const KEYED_CLASS: usize = 2;
 
-/// Settings under which nothing is due while a test holds its side, and two requests run at once.
-fn unhurried() -> Value {
+/// Settings under which no request becomes due during a test, and two requests run at once.
+fn long_deadlines() -> Value {
     let mut settings = settings();
     settings["rules"]["fall-multiple"] = json!(2.0);
     for class in 0..3 {
@@ -25,9 +26,9 @@
     settings
 }
 
-/// The keyed class has a new name, and its old one still.
-fn with_a_new_name(mut settings: Value) -> Value {
-    let mut class = settings["classes"][KEYED].clone();
+/// Adds a copy of the keyed class under a new name; the old name stays.
+fn with_class_copied_to_new_name(mut settings: Value) -> Value {
+    let mut class = settings["classes"][KEYED_CLASS].clone();
     class["name"] = "pay-session_new".into();
     settings["classes"].as_array_mut().expect("classes").push(class);
     settings["family-info"]["calls-by-class"] = json!([true, false, true, true]);
@@ -36,23 +37,23 @@
 }
 
 fn with_effect(effect: &str) -> Value {
-    let mut settings = unhurried();
-    settings["classes"][KEYED]["effect"] = json!(effect);
+    let mut settings = long_deadlines();
+    settings["classes"][KEYED_CLASS]["effect"] = json!(effect);
     settings
 }
 
-fn started(settings: Value) -> (Node, FrontEnd) {
+fn start(settings: Value) -> (Node, FrontEnd) {
     let node = Node::start_with(settings);
     let front = FrontEnd::connect(&node.resp);
     (node, front)
 }
 
-fn pay(front: &mut FrontEnd, tag: u64, key: &str) {
+fn send_keyed(front: &mut FrontEnd, tag: u64, key: &str) {
     front.ask(tag, "pay-session", &try_id(tag), &format!(",opkey={key}"), b"body");
 }
 
-/// New settings are in force: a further number of classes shows that the node has turned to them.
-fn retune(node: &mut Node, mut settings: Value, marker: &str) {
+/// Applies new settings, with a class added whose name in the log shows that they are in force.
+fn apply_settings(node: &mut Node, mut settings: Value, marker: &str) {
     let mut class = settings["classes"][0].clone();
     class["name"] = json!(marker);
     settings["classes"].as_array_mut().expect("a list").push(class);
@@ -64,28 +65,29 @@
     node.logged(&format!("pay-session, {marker}"));
 }
 
-/// Whatever came before has been decided: a check is answered behind it, and the exchange has had its turn.
-fn decided(front: &mut FrontEnd) {
+/// Waits until everything sent before has been decided: status checks are answered after it, and the exchange has run
+/// in between.
+fn wait_until_decided(front: &mut FrontEnd) {
     (0..10).for_each(|_| drop(front.answer_to_status()));
 }
 
 #[rstest]
 #[case::no_longer_keyed("retryable")]
 #[case::not_to_be_repeated("fragile")]
-fn a_repeat_gets_the_result_though_its_class_has_lost_its_keys(#[case] effect: &str) {
-    let (mut node, mut front) = started(unhurried());
-    pay(&mut front, 1, "over");
+fn repeat_gets_the_result_although_its_class_is_no_longer_keyed(#[case] effect: &str) {
+    let (mut node, mut front) = start(long_deadlines());
+    send_keyed(&mut front, 1, "over");
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    pay(&mut front, 2, "running");
+    send_keyed(&mut front, 2, "running");
     assert_eq!(node.processor.begun(), try_id(2));
-    retune(&mut node, with_effect(effect), "marker");
-    pay(&mut front, 3, "over");
-    assert_eq!(front.answer().body, b"first", "its result is there");
-    pay(&mut front, 4, "running");
-    decided(&mut front);
-    assert_eq!(node.processor.count("begin"), 0, "neither is run again");
+    apply_settings(&mut node, with_effect(effect), "marker");
+    send_keyed(&mut front, 3, "over");
+    assert_eq!(front.answer().body, b"first", "the stored result is returned");
+    send_keyed(&mut front, 4, "running");
+    wait_until_decided(&mut front);
+    assert_eq!(node.processor.count("begin"), 0, "neither runs again");
     node.processor.complete(&try_id(2), b"second");
     let mut answers = [front.answer(), front.answer()].map(|answer| (answer.tag, answer.body));
     answers.sort();
@@ -93,39 +95,39 @@
 }
 
 #[rstest]
-fn a_repeat_that_is_given_up_leaves_no_place_taken() {
-    let (mut node, mut front) = started(unhurried());
-    pay(&mut front, 1, "shared");
+fn cancelled_repeat_leaves_no_run_slot_taken() {
+    let (mut node, mut front) = start(long_deadlines());
+    send_keyed(&mut front, 1, "shared");
     assert_eq!(node.processor.begun(), try_id(1));
-    // To the decision module repeats are runs of their own now; the table of keys stops them.
-    retune(&mut node, with_effect("fragile"), "marker");
+    // The decision module now takes repeats for runs of their own; the idempotency table stops them.
+    apply_settings(&mut node, with_effect("fragile"), "marker");
     for tag in 2..20 {
-        pay(&mut front, tag, "shared");
-        decided(&mut front);
+        send_keyed(&mut front, tag, "shared");
+        wait_until_decided(&mut front);
         front.send(&[b"NEVERMIND", tag.to_string().as_bytes()]);
-        decided(&mut front);
+        wait_until_decided(&mut front);
     }
     front.ask(20, "pay-session", &try_id(20), "", b"body");
-    assert_eq!(node.processor.begun(), try_id(20), "there is room for another run");
+    assert_eq!(node.processor.begun(), try_id(20), "there is capacity for another run");
     node.processor.complete(&try_id(20), b"other");
     assert_eq!(front.answer().body, b"other");
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
 }
 
-/// Callers hear of a class's new name one after the other, so that the tries of one request come under both.
+/// Callers learn the new name of a class at different times, so the tries of one request may use both names.
 #[rstest]
-fn a_try_under_the_new_name_of_its_class_is_a_repeat() {
-    let (mut node, mut front) = started(unhurried());
-    pay(&mut front, 1, "failed");
+fn try_under_the_new_name_of_its_class_is_a_repeat() {
+    let (mut node, mut front) = start(long_deadlines());
+    send_keyed(&mut front, 1, "failed");
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.end(&try_id(1), "failed");
     assert_eq!(front.answer().word, "error");
-    pay(&mut front, 2, "done");
+    send_keyed(&mut front, 2, "done");
     assert_eq!(node.processor.begun(), try_id(2));
     node.processor.complete(&try_id(2), b"first");
     assert_eq!(front.answer().body, b"first");
-    node.retune(with_a_new_name(unhurried()));
+    node.retune(with_class_copied_to_new_name(long_deadlines()));
     node.logged("the classes are history, plate-check, pay-session, pay-session_new");
     for (tag, key, word) in [(3, "failed", "error"), (4, "done", "done")] {
         front.ask(tag, "pay-session_new", &try_id(tag), &format!(",opkey={key}"), b"body");
@@ -136,92 +138,92 @@
     assert_eq!(node.processor.begun(), try_id(5));
 }
 
-/// The window under the name that a try comes under is over, and the run under another name has its own still.
+/// The window under the name that a try uses has ended, and that of the run under another name has not.
 #[rstest]
-fn a_run_under_another_name_counts_where_that_under_its_own_is_out_of_its_window() {
-    let mut settings = with_a_new_name(unhurried());
-    settings["classes"][KEYED]["repeat-window"] = json!(1.0);
-    let (mut node, mut front) = started(settings);
+fn run_under_another_class_name_counts_when_the_own_window_has_ended() {
+    let mut settings = with_class_copied_to_new_name(long_deadlines());
+    settings["classes"][KEYED_CLASS]["repeat-window"] = json!(1.0);
+    let (mut node, mut front) = start(settings);
     let ts = unix_ms();
-    pay(&mut front, 1, "kept");
+    send_keyed(&mut front, 1, "kept");
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    // Behind the end of the window; its row is kept for as long as a repeat from its end may be open.
+    // Past the end of the window; the record is kept for as long as a repeat that arrived before its end may be open.
     while unix_ms() < ts + 1_000 {
-        decided(&mut front);
+        wait_until_decided(&mut front);
     }
     front.ask(2, "pay-session_new", &try_id(2), ",opkey=kept", b"body");
     assert_eq!(node.processor.begun(), try_id(2));
     node.processor.complete(&try_id(2), b"second");
     assert_eq!(front.answer().body, b"second");
-    pay(&mut front, 3, "kept");
+    send_keyed(&mut front, 3, "kept");
     assert_eq!(front.answer().body, b"second");
     assert_eq!(node.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn a_class_that_is_dropped_and_added_again_keeps_its_keys() {
-    let (mut node, mut front) = started(unhurried());
-    pay(&mut front, 1, "kept");
+fn class_that_is_removed_and_added_again_keeps_its_keys() {
+    let (mut node, mut front) = start(long_deadlines());
+    send_keyed(&mut front, 1, "kept");
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    let mut dropped = unhurried();
-    dropped["classes"][KEYED]["name"] = json!("annual-pass");
+    let mut dropped = long_deadlines();
+    dropped["classes"][KEYED_CLASS]["name"] = json!("annual-pass");
     node.retune(dropped);
     node.logged("the classes are history, plate-check, annual-pass");
-    retune(&mut node, unhurried(), "marker");
-    pay(&mut front, 2, "kept");
+    apply_settings(&mut node, long_deadlines(), "marker");
+    send_keyed(&mut front, 2, "kept");
     assert_eq!(front.answer().body, b"first");
     assert_eq!(node.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn a_window_that_new_settings_make_longer_holds_for_runs_that_are_over() {
-    let mut short = unhurried();
-    short["classes"][KEYED]["repeat-window"] = json!(1.0);
-    short["classes"][KEYED]["hard-limit"] = json!(400.0);
-    short["classes"][KEYED]["aim"] = json!(300.0);
-    let (mut node, mut front) = started(short.clone());
+fn longer_window_of_new_settings_applies_to_finished_runs() {
+    let mut short = long_deadlines();
+    short["classes"][KEYED_CLASS]["repeat-window"] = json!(1.0);
+    short["classes"][KEYED_CLASS]["hard-limit"] = json!(400.0);
+    short["classes"][KEYED_CLASS]["aim"] = json!(300.0);
+    let (mut node, mut front) = start(short.clone());
     let ts = unix_ms();
-    let patient = |key: &str| format!(",opkey={key},timeout=30000");
-    front.ask_at(ts, 1, "pay-session", &try_id(1), &patient("kept"), b"body");
+    let long_timeout = |key: &str| format!(",opkey={key},timeout=30000");
+    front.ask_at(ts, 1, "pay-session", &try_id(1), &long_timeout("kept"), b"body");
     assert_eq!(node.processor.begun(), try_id(1));
-    short["classes"][KEYED]["repeat-window"] = json!(60_000.0);
-    retune(&mut node, short, "marker");
+    short["classes"][KEYED_CLASS]["repeat-window"] = json!(60_000.0);
+    apply_settings(&mut node, short, "marker");
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    // Behind the end of the old window, and of the time that its row was kept.
+    // Past the end of the old window, and of the time for which its record was kept.
     while unix_ms() < ts + 1_500 {
-        decided(&mut front);
+        wait_until_decided(&mut front);
     }
-    front.ask(2, "pay-session", &try_id(2), &patient("kept"), b"body");
+    front.ask(2, "pay-session", &try_id(2), &long_timeout("kept"), b"body");
     assert_eq!(front.answer().body, b"first");
     assert_eq!(node.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn a_repeat_that_is_read_after_its_key_is_forgotten_is_not_run() {
-    let mut short = unhurried();
-    short["classes"][KEYED]["repeat-window"] = json!(1.0);
-    short["classes"][KEYED]["hard-limit"] = json!(3_000.0);
-    short["classes"][KEYED]["aim"] = json!(2_500.0);
-    let (mut node, mut front) = started(short);
+fn repeat_that_is_read_after_its_key_was_removed_is_not_run() {
+    let mut short = long_deadlines();
+    short["classes"][KEYED_CLASS]["repeat-window"] = json!(1.0);
+    short["classes"][KEYED_CLASS]["hard-limit"] = json!(3_000.0);
+    short["classes"][KEYED_CLASS]["aim"] = json!(2_500.0);
+    let (mut node, mut front) = start(short);
     let ts = unix_ms();
-    let patient = ",opkey=late,timeout=60000";
+    let long_timeout = ",opkey=late,timeout=60000";
     front.ask_at(ts, 1, "pay-session", &try_id(1), ",opkey=late", b"body");
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    // The row goes a limit behind the window; this try came to the machine within it and is read only now.
+    // The record is removed one deadline after the window; this try arrived within the window and is read only now.
     while unix_ms() < ts + 3_800 {
-        decided(&mut front);
+        wait_until_decided(&mut front);
     }
-    front.ask_at(ts + 1, 2, "pay-session", &try_id(2), patient, b"body");
+    front.ask_at(ts + 1, 2, "pay-session", &try_id(2), long_timeout, b"body");
     let answer = front.answer();
     assert!(answer.word != "later" && node.processor.count("begin") == 0, "{answer:?}");
-    // One that is read in time and comes behind the window is another run.
+    // A try that is read in time and arrives after the window is a new run.
     front.ask(3, "pay-session", &try_id(3), ",opkey=late,timeout=60000", b"body");
     assert_eq!(node.processor.begun(), try_id(3));
 }
@@ -229,18 +231,18 @@
 #[rstest]
 #[case::held_when_its_class_loses_its_keys(1e4)]
 #[case::the_longest_window_that_settings_may_have(1e9)]
-fn keys_survive_odd_settings_and_the_node_serves_on(#[case] window: f64) {
-    let mut settings = unhurried();
-    settings["classes"][KEYED]["repeat-window"] = json!(window);
-    let (mut node, mut front) = started(settings);
-    // Both places are taken: the third is held while the class loses its keys.
+fn keys_survive_unusual_settings_and_the_node_keeps_serving(#[case] window: f64) {
+    let mut settings = long_deadlines();
+    settings["classes"][KEYED_CLASS]["repeat-window"] = json!(window);
+    let (mut node, mut front) = start(settings);
+    // Both runs that are allowed at once are in use: the third request is held while its class loses its keys.
     for tag in 1..=2 {
-        pay(&mut front, tag, &format!("key-{tag}"));
+        send_keyed(&mut front, tag, &format!("key-{tag}"));
         assert_eq!(node.processor.begun(), try_id(tag));
     }
-    pay(&mut front, 3, "key-3");
-    decided(&mut front);
-    retune(&mut node, with_effect("retryable"), "marker");
+    send_keyed(&mut front, 3, "key-3");
+    wait_until_decided(&mut front);
+    apply_settings(&mut node, with_effect("retryable"), "marker");
     for tag in 1..=3 {
         if tag == 3 {
             assert_eq!(node.processor.begun(), try_id(3));
@@ -248,8 +250,8 @@
         node.processor.complete(&try_id(tag), b"well");
         assert_eq!(front.answer().body, b"well");
     }
-    pay(&mut front, 4, "key-3");
-    assert_eq!(front.answer().body, b"well", "it had its key when it was read");
+    send_keyed(&mut front, 4, "key-3");
+    assert_eq!(front.answer().body, b"well", "the class was keyed when the request was read");
     assert_eq!(front.answer_to_status().word, "healthy");
 }
 
@@ -257,23 +259,23 @@
 #[case::ends_well("ok")]
 #[case::never_began("void")]
 #[case::fails("failed")]
-fn a_repeat_in_the_batch_of_its_runs_end_gets_one_answer(#[case] end: &str) {
-    let (mut node, mut front) = started(unhurried());
+fn repeat_in_the_same_batch_as_the_end_of_its_run_gets_one_answer(#[case] end: &str) {
+    let (mut node, mut front) = start(long_deadlines());
     for round in 0..20 {
         let (first, repeat) = (2 * round + 1, 2 * round + 2);
-        pay(&mut front, first, &format!("key-{round}"));
+        send_keyed(&mut front, first, &format!("key-{round}"));
         assert_eq!(node.processor.begun(), try_id(first));
-        // Both are on their way at once: which the node reads first is its choice, and both orders are right.
+        // Both are in flight at once: the node may read either first, and both orders are correct.
         node.processor.end(&try_id(first), end);
-        pay(&mut front, repeat, &format!("key-{round}"));
-        // Only one that never began may be begun again.
+        send_keyed(&mut front, repeat, &format!("key-{round}"));
+        // Only a run that never began may be begun again.
         let answer = front.answer();
         assert_eq!(answer.tag, first.to_string());
-        decided_or_run_again(&mut node, &mut front, repeat, end);
+        expect_answer_or_rerun(&mut node, &mut front, repeat, end);
     }
 }
 
-fn decided_or_run_again(node: &mut Node, front: &mut FrontEnd, repeat: u64, end: &str) {
+fn expect_answer_or_rerun(node: &mut Node, front: &mut FrontEnd, repeat: u64, end: &str) {
     let answer = loop {
         if let Some(answer) = front.try_answer_within_ms(50) {
             break answer;
@@ -289,38 +291,38 @@
 }
 
 #[rstest]
-fn a_run_that_is_rejected_fails_those_that_share_it_and_frees_its_key() {
-    let (mut node, mut front) = started(unhurried());
+fn rejected_run_fails_the_requests_that_share_it_and_frees_its_key() {
+    let (mut node, mut front) = start(long_deadlines());
     for tag in 1..=3 {
-        pay(&mut front, tag, "moot");
-        decided(&mut front);
+        send_keyed(&mut front, tag, "moot");
+        wait_until_decided(&mut front);
     }
     assert_eq!(node.processor.begun(), try_id(1));
     node.processor.say(json!({"op": "reject", "end": "begin", "id": try_id(1)}));
     let mut tags = [(); 3].map(|()| front.answer()).map(|answer| (answer.tag, answer.word));
     tags.sort();
     assert!(tags.iter().all(|(_, word)| word == "error"), "{tags:?}");
-    pay(&mut front, 4, "moot");
+    send_keyed(&mut front, 4, "moot");
     assert_eq!(node.processor.begun(), try_id(4));
     node.processor.complete(&try_id(4), b"fourth");
     assert_eq!(front.answer().body, b"fourth");
 }
 
 #[rstest]
-fn a_run_whose_caller_and_link_go_answers_those_that_share_it() {
-    let (mut node, mut front) = started(unhurried());
-    pay(&mut front, 1, "shared");
+fn run_that_loses_its_caller_and_link_answers_the_requests_that_share_it() {
+    let (mut node, mut front) = start(long_deadlines());
+    send_keyed(&mut front, 1, "shared");
     assert_eq!(node.processor.begun(), try_id(1));
     let mut other = FrontEnd::connect(&node.resp);
-    pay(&mut other, 2, "shared");
-    decided(&mut other);
+    send_keyed(&mut other, 2, "shared");
+    wait_until_decided(&mut other);
     front.send(&[b"NEVERMIND", b"1"]);
-    decided(&mut front);
-    // A try under the name of the run that goes on is no second run.
+    wait_until_decided(&mut front);
+    // A try with the id of the run that is still running is not run a second time.
     front.ask(3, "pay-session", &try_id(1), ",opkey=shared", b"body");
     assert_eq!(front.answer().word, "error");
-    pay(&mut front, 4, "shared");
-    decided(&mut front);
+    send_keyed(&mut front, 4, "shared");
+    wait_until_decided(&mut front);
     node.processor.break_link();
     node.logged("the link to the processor broke");
     node.processor.greet("warm");
@@ -330,25 +332,25 @@
 }
 
 #[rstest]
-fn those_that_share_a_run_are_answered_by_their_own_due_times() {
-    let mut settings = unhurried();
-    settings["classes"][KEYED]["repeat-window"] = json!(1.0);
-    settings["classes"][KEYED]["hard-limit"] = json!(300.0);
-    settings["classes"][KEYED]["aim"] = json!(200.0);
-    let (mut node, mut front) = started(settings);
+fn requests_that_share_a_run_are_answered_by_their_own_due_times() {
+    let mut settings = long_deadlines();
+    settings["classes"][KEYED_CLASS]["repeat-window"] = json!(1.0);
+    settings["classes"][KEYED_CLASS]["hard-limit"] = json!(300.0);
+    settings["classes"][KEYED_CLASS]["aim"] = json!(200.0);
+    let (mut node, mut front) = start(settings);
     let ts = unix_ms();
     front.ask_at(ts, 1, "pay-session", &try_id(1), ",opkey=a,timeout=30000", b"body");
     assert_eq!(node.processor.begun(), try_id(1));
-    // One is due long before the run ends, one long after the row's window; a third displaces the row.
+    // One is due long before the run ends, one long after the window of the record; a third replaces the record.
     front.ask_at(ts, 2, "pay-session", &try_id(2), ",opkey=a,timeout=200", b"body");
     front.ask_at(ts, 3, "pay-session", &try_id(3), ",opkey=a,timeout=30000", b"body");
     let early = front.answer();
     assert_eq!((early.tag.as_str(), early.word.as_str()), ("2", "error"));
     while unix_ms() < ts + 1_500 {
-        decided_with_nothing_due(&mut front);
+        expect_healthy(&mut front);
     }
     front.ask(4, "pay-session", &try_id(4), ",opkey=a,timeout=30000", b"body");
-    assert_eq!(node.processor.begun(), try_id(4), "it came behind the window");
+    assert_eq!(node.processor.begun(), try_id(4), "it arrived after the window");
     node.processor.complete(&try_id(1), b"first");
     node.processor.complete(&try_id(4), b"second");
     let mut answers = [(); 3].map(|()| front.answer()).map(|answer| (answer.tag, answer.word));
@@ -357,21 +359,21 @@
     assert_eq!(answers, [done("1"), done("3"), done("4")]);
 }
 
-fn decided_with_nothing_due(front: &mut FrontEnd) {
+fn expect_healthy(front: &mut FrontEnd) {
     assert_eq!(front.answer_to_status().word, "healthy");
 }
 
 #[rstest]
-fn a_flood_ahead_of_many_due_requests_costs_none_its_answer_in_time() {
-    let (mut node, mut flooding) = started(settings());
-    // Held and running requests that the processor never ends, on many connections.
+fn flood_does_not_delay_the_answers_of_due_requests() {
+    let (mut node, mut flooding) = start(settings());
+    // Held and running requests on many connections; the processor never ends any.
     let mut fronts: Vec<FrontEnd> = (0..8).map(|_| FrontEnd::connect(&node.resp)).collect();
     for (at, front) in fronts.iter_mut().enumerate() {
         for tag in 1..=32 {
-            pay(front, tag + 100 * at as u64, &format!("{at}-{tag}"));
+            send_keyed(front, tag + 100 * at as u64, &format!("{at}-{tag}"));
         }
     }
-    // More inputs than the exchange's queue holds.
+    // More inputs than fit in the queue of the exchange.
     for tag in 1..=6_000_u64 {
         let class = if tag % 2 == 0 { "no-such-class" } else { "plate-check" };
         flooding.ask(10_000 + tag, class, &try_id(10_000 + tag), "", b"body");
@@ -388,9 +390,9 @@
     assert!(!node.has_ended());
 }
 
-/// A node on a socket that the platform holds.
-fn held() -> (Node, FrontEnd) {
-    let mut config = config(unhurried());
+/// A node whose listening socket is held by the platform.
+fn start_on_held_socket() -> (Node, FrontEnd) {
+    let mut config = config(long_deadlines());
     config["stop_ms"] = json!(60_000);
     let mut node = Node::launch_held_as(config);
     node.processor.greet("warm");
@@ -399,8 +401,8 @@
     (node, front)
 }
 
-/// A further process that is ready and waits for its turn.
-fn waiting(old: &mut Node) -> Node {
+/// Starts a further process of the node, which is ready and waits to take over.
+fn start_successor(old: &mut Node) -> Node {
     let mut new = old.successor();
     new.processor.greet("warm");
     new.logged("the processor is up");
@@ -408,25 +410,25 @@
 }
 
 #[rstest]
-fn a_process_that_comes_while_the_one_before_drains_gets_its_keys() {
-    let (mut old, mut front) = held();
-    pay(&mut front, 1, "done");
+fn process_that_starts_while_the_previous_one_drains_gets_its_keys() {
+    let (mut old, mut front) = start_on_held_socket();
+    send_keyed(&mut front, 1, "done");
     assert_eq!(old.processor.begun(), try_id(1));
     old.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    pay(&mut front, 2, "running");
+    send_keyed(&mut front, 2, "running");
     assert_eq!(old.processor.begun(), try_id(2));
     old.terminate();
     old.logged("draining");
-    let mut new = waiting(&mut old);
+    let mut new = start_successor(&mut old);
     old.logged("handing over");
     new.logged("taking over");
     new.reported("Ready");
     let mut next = FrontEnd::connect(&new.resp);
-    pay(&mut next, 11, "done");
+    send_keyed(&mut next, 11, "done");
     assert_eq!(next.answer().body, b"first");
-    pay(&mut next, 12, "running");
-    decided(&mut next);
+    send_keyed(&mut next, 12, "running");
+    wait_until_decided(&mut next);
     old.processor.complete(&try_id(2), b"second");
     assert_eq!(front.answer().body, b"second");
     assert_eq!(next.answer().body, b"second");
@@ -435,14 +437,14 @@
 
 #[rstest]
 fn of_two_waiting_processes_one_serves_and_the_other_waits_behind_it() {
-    let (mut old, mut front) = held();
-    pay(&mut front, 1, "done");
+    let (mut old, mut front) = start_on_held_socket();
+    send_keyed(&mut front, 1, "done");
     assert_eq!(old.processor.begun(), try_id(1));
     old.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    let mut one = waiting(&mut old);
+    let mut one = start_successor(&mut old);
     old.logged("the next process is there");
-    let mut two = waiting(&mut old);
+    let mut two = start_successor(&mut old);
     old.logged("; 2 processes wait");
     old.terminate();
     two.logged("taking over");
@@ -451,31 +453,31 @@
     assert!(old.ended().success());
     two.logged("the next process is there");
     let mut next = FrontEnd::connect(&two.resp);
-    pay(&mut next, 2, "done");
+    send_keyed(&mut next, 2, "done");
     assert_eq!(next.answer().body, b"first");
-    pay(&mut next, 3, "second");
+    send_keyed(&mut next, 3, "second");
     assert_eq!(two.processor.begun(), try_id(3));
     two.processor.complete(&try_id(3), b"second");
     assert_eq!(next.answer().body, b"second");
-    // The first of the two is the next one now.
+    // The other waiting process is the next one now.
     two.terminate();
     one.logged("taking over");
     let mut last = FrontEnd::connect(&one.resp);
     for (tag, key, result) in [(4, "done", b"first".to_vec()), (5, "second", b"second".to_vec())] {
-        pay(&mut last, tag, key);
+        send_keyed(&mut last, tag, key);
         assert_eq!(last.answer().body, result);
     }
     assert_eq!(one.processor.count("begin") + two.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn of_two_waiting_processes_only_one_follows_one_that_is_killed() {
-    let (mut old, _front) = held();
-    let mut one = waiting(&mut old);
-    let mut two = waiting(&mut old);
+fn only_one_of_two_waiting_processes_follows_one_that_is_killed() {
+    let (mut old, _front) = start_on_held_socket();
+    let mut one = start_successor(&mut old);
+    let mut two = start_successor(&mut old);
     old.logged("; 2 processes wait");
     old.kill();
-    // One of the two finds nobody, the other finds that one.
+    // One of the two finds no other process and serves, the other finds that one and waits.
     let serves = |node: &mut Node| node.logged_within("reporting Ready", Duration::from_millis(50)).is_some();
     let (mut serving, mut behind) = loop {
         if serves(&mut one) {
@@ -488,17 +490,17 @@
     serving.logged("the next process is there");
     assert!(!serves(&mut behind), "it waits");
     let mut front = FrontEnd::connect(&serving.resp);
-    pay(&mut front, 1, "key");
+    send_keyed(&mut front, 1, "key");
     assert_eq!(serving.processor.begun(), try_id(1));
     assert_eq!(behind.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn both_processes_that_are_told_to_end_leave_nothing_unanswered() {
-    let (mut old, mut front) = held();
-    pay(&mut front, 1, "running");
+fn two_processes_terminated_together_leave_no_request_unanswered() {
+    let (mut old, mut front) = start_on_held_socket();
+    send_keyed(&mut front, 1, "running");
     assert_eq!(old.processor.begun(), try_id(1));
-    let mut new = waiting(&mut old);
+    let mut new = start_successor(&mut old);
     old.logged("the next process is there");
     new.terminate();
     assert!(new.ended().success(), "it has read nothing");
@@ -510,40 +512,40 @@
 
 #[rstest]
 fn new_settings_between_the_two_processes_keep_the_keys() {
-    let (mut old, mut front) = held();
-    pay(&mut front, 1, "done");
+    let (mut old, mut front) = start_on_held_socket();
+    send_keyed(&mut front, 1, "done");
     assert_eq!(old.processor.begun(), try_id(1));
     old.processor.complete(&try_id(1), b"first");
     assert_eq!(front.answer().body, b"first");
-    let mut new = waiting(&mut old);
+    let mut new = start_successor(&mut old);
     old.logged("the next process is there");
-    // Each process reads its own file anew; the new one turns to another effect ahead of its turn.
+    // Each process reloads its own file; the new one applies another effect before it takes over.
     new.retune(with_effect("fragile"));
     new.logged("the configuration is read anew");
     old.terminate();
     new.logged("taking over");
     let mut next = FrontEnd::connect(&new.resp);
-    pay(&mut next, 2, "done");
+    send_keyed(&mut next, 2, "done");
     assert_eq!(next.answer().body, b"first");
     assert_eq!(new.processor.count("begin"), 0);
 }
 
 #[rstest]
-fn a_caller_that_goes_while_it_is_held_frees_its_key() {
-    let (mut node, mut front) = started(unhurried());
+fn caller_that_disconnects_while_held_frees_its_key() {
+    let (mut node, mut front) = start(long_deadlines());
     for tag in 1..=2 {
-        pay(&mut front, tag, &format!("run-{tag}"));
+        send_keyed(&mut front, tag, &format!("run-{tag}"));
         assert_eq!(node.processor.begun(), try_id(tag));
     }
-    // Both cores are taken. A held try goes by its word, and another by the end of its connection.
-    pay(&mut front, 3, "left");
+    // Both cores are in use. One held try is cancelled, and another ends with its connection.
+    send_keyed(&mut front, 3, "left");
     front.send(&[b"NEVERMIND", b"3"]);
-    decided(&mut front);
+    wait_until_decided(&mut front);
     let mut other = FrontEnd::over(TcpStream::connect(&node.resp).expect("a connection")).expect("one");
-    pay(&mut other, 4, "left");
-    decided(&mut other);
-    pay(&mut front, 5, "left");
-    assert_eq!(other.answer().word, "later", "the newest try carries the key, the one before never ran");
+    send_keyed(&mut other, 4, "left");
+    wait_until_decided(&mut other);
+    send_keyed(&mut front, 5, "left");
+    assert_eq!(other.answer().word, "later", "the newest try holds the key, the earlier one never ran");
     node.processor.complete(&try_id(1), b"one");
     assert_eq!(front.answer().body, b"one");
     assert_eq!(node.processor.begun(), try_id(5));
@@ -553,34 +555,34 @@
 }
 
 #[rstest]
-fn a_processor_that_starts_anew_is_cold_once_more() {
-    let mut settings = unhurried();
-    // Warm cores take two runs, and cold ones one until they are nearly warm.
+fn restarted_processor_is_cold_again() {
+    let mut settings = long_deadlines();
+    // Warm cores take two runs at once, and cold ones only one until they are nearly warm.
     settings["rules"]["fall-multiple"] = json!(1.3);
     settings["rules"]["cold"] = json!(6_000.0);
     settings["rules"]["cold-from"] = json!(0.0);
-    let (mut node, mut front) = started(settings);
+    let (mut node, mut front) = start(settings);
     let since = unix_ms();
     for tag in 1..=2 {
-        pay(&mut front, tag, &format!("warm-{tag}"));
+        send_keyed(&mut front, tag, &format!("warm-{tag}"));
         assert_eq!(node.processor.begun(), try_id(tag), "both cores are used");
     }
     for tag in 1..=2 {
         node.processor.complete(&try_id(tag), b"well");
         assert_eq!(front.answer().body, b"well");
     }
-    // The first start is long ago.
+    // Long enough after the first start for the cores to be warm.
     while unix_ms() < since + 6_500 {
-        decided(&mut front);
+        wait_until_decided(&mut front);
     }
     node.processor.break_link();
     node.processor.greet("cold");
-    node.logged("the processor has started anew, cold");
-    pay(&mut front, 3, "cold-1");
-    pay(&mut front, 4, "cold-2");
+    node.logged("the processor has restarted cold");
+    send_keyed(&mut front, 3, "cold-1");
+    send_keyed(&mut front, 4, "cold-2");
     let first = node.processor.begun();
-    decided(&mut front);
-    assert_eq!(node.processor.count("begin"), 0, "a cold one has one run at a time");
+    wait_until_decided(&mut front);
+    assert_eq!(node.processor.count("begin"), 0, "a cold processor has one run at a time");
     node.processor.complete(&first, b"well");
     assert_eq!(front.answer().body, b"well");
     let second = node.processor.begun();
