--- a/src/exchange/anomalies.rs
+++ b/src/exchange/anomalies.rs
@@ -1,4 +1,5 @@
-//! Counts what should not happen to requests, so that the log gets a few lines where much goes wrong, and none is lost.
+//! Counts abnormal conditions by kind, so that the log gets a few summary lines when many requests are affected, and no
+//! occurrence is lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,55 +8,58 @@
 
 use super::types::Anomaly;
 
-/// Time over which anomalies of one kind are counted into a line of the log.
-const PERIOD: Duration = Duration::from_secs(5);
-/// The same once the process is to end: it may be stopped at any time.
-const LAST_PERIOD: Duration = Duration::from_millis(250);
+/// Time over which anomalies of one kind are summed up in one log line.
+const REPORT_PERIOD: Duration = Duration::from_secs(5);
+/// The same while the process is draining: it may be stopped at any time.
+const DRAINING_REPORT_PERIOD: Duration = Duration::from_millis(250);
 
-/// An episode of one kind, from the first to a period without any.
+/// An episode of anomalies of one kind: from the first one to the first period without any.
 #[derive(Default)]
 struct Episode {
-    /// Since the last report, and in all.
+    /// Anomalies since the last report.
     new: u32,
-    all: u32,
+    /// Anomalies in total.
+    total: u32,
 }
 
-/// The episodes that are on.
+/// The current episodes.
 #[derive(Default)]
 pub(super) struct Anomalies {
     episodes: BTreeMap<Anomaly, Episode>,
-    hurried: bool,
+    draining: bool,
 }
 
 impl Anomalies {
-    /// Time between two reports.
+    /// The time between two reports.
     pub fn period(&self) -> Duration {
-        if self.hurried { LAST_PERIOD } else { PERIOD }
+        if self.draining { DRAINING_REPORT_PERIOD } else { REPORT_PERIOD }
     }
 
-    /// Reports more often from now on.
+    /// Shortens the time between reports from now on.
     pub fn hurry(&mut self) {
-        self.hurried = true;
+        self.draining = true;
     }
 
-    /// Counts one; the first of an episode is logged at once. True where a report has to be set up, as there was none to come.
+    /// Counts an anomaly; the first of an episode is logged at once. Returns true if the caller has to schedule a
+    /// report, because none was pending.
     pub fn count(&mut self, anomaly: Anomaly) -> bool {
         let was_quiet = self.episodes.is_empty();
         let episode = self.episodes.entry(anomaly).or_default();
-        if episode.all == 0 {
-            warn!("a spell begins: {anomaly}");
+        if episode.total == 0 {
+            warn!("an episode begins: {anomaly}");
         }
         episode.new += 1;
-        episode.all += 1;
+        episode.total += 1;
         was_quiet
     }
 
-    /// Logs the counts since the last report, and the end of each episode that had none. False where none is on.
+    /// Logs the counts since the last report, and the end of each episode without a new anomaly. Returns false if no
+    /// episode is left.
     pub fn report(&mut self) -> bool {
         let period = self.period();
         self.episodes.retain(|anomaly, episode| match std::mem::take(&mut episode.new) {
             0 => {
-                info!("over after {}: {anomaly}", episode.all);
+                info!("an episode ends after {} in all: {anomaly}", episode.total);
                 false
             }
             new => {
--- a/src/exchange/answers.rs
+++ b/src/exchange/answers.rs
@@ -1,4 +1,4 @@
-//! The one final answer of each request, and what is dropped with it.
+//! Sends the final answer of each request and cleans up its state.
 
 use log::debug;
 
@@ -10,6 +10,7 @@
 use crate::replication::Errand;
 
 impl Exchange {
+    /// The client no longer waits for its answer.
     pub(super) fn abandon(&mut self, id: RequestId) {
         if let Some(entry) = self.entries.get_mut(&id) {
             entry.reply = None;
@@ -17,7 +18,7 @@
         }
     }
 
-    /// Nobody waits for a request any more, and the decision module has not said so.
+    /// Ends a request that no caller waits for, and notifies the decision module, which did not initiate this.
     pub(super) fn close_request(&mut self, id: RequestId) {
         if !self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::VerifyingRefusal { .. })) {
             self.events.push(Event::Gone(id));
@@ -25,7 +26,7 @@
         self.clean_up(id);
     }
 
-    /// Drops what is left of a request that is owed no answer any more. A run goes on to its end.
+    /// Removes the remaining state of a request that needs no answer any more. A run continues to its end.
     pub(super) fn clean_up(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         if let Some(failsafe) = entry.failsafe_timer.take() {
@@ -35,7 +36,7 @@
             pending.placed = None;
         }
         if matches!(entry.phase, Phase::Sharing) {
-            // The decision module may take it for a run of its own, whose place would stay taken for good.
+            // The decision module may count it as a run, whose permit would otherwise never be released.
             self.events.push(Event::Done { id, outcome: Outcome::Moot, took_ms: 0.0 });
         }
         if matches!(entry.phase, Phase::Claiming { .. }) {
@@ -43,7 +44,7 @@
         } else if entry.is_running() {
             self.schedule_inquiry(id);
         } else if matches!(entry.phase, Phase::Replicating(_)) {
-            // Its run is over; only its copies are awaited, by a wait of their own.
+            // Its run is over; only the replication of its result is pending, which has its own timer.
             self.await_replication(id);
         } else {
             if matches!(entry.phase, Phase::VerifyingRefusal { .. }) {
@@ -53,6 +54,7 @@
         }
     }
 
+    /// Removes a request that did not run, and gives up its key.
     pub(super) fn drop_unrun(&mut self, id: RequestId) {
         let Some(entry) = self.entries.remove(&id) else { return };
         self.forget_try(entry.try_id, id);
@@ -63,24 +65,30 @@
         }
     }
 
-    /// Leaves a key that never ran to others.
+    /// Releases a key that never ran, for other tries.
     pub(super) fn release_key(&mut self, key: &Key, id: RequestId) {
         let waiting = self.idempotency.release(key, id);
         self.hand_over_key(key);
         self.share_with_waiting(waiting, &KeyState::Failed);
     }
 
+    /// Removes the mapping from a try to its request, unless a later request has taken it over.
     pub(super) fn forget_try(&mut self, try_id: TryId, id: RequestId) {
         if self.by_try.get(&try_id) == Some(&id) {
             self.by_try.remove(&try_id);
         }
     }
 
-    /// Sends the one answer. False where none is owed.
+    /// Sends the answer to a request. False if it was already answered or its client has gone.
     pub(super) fn send_answer(&mut self, id: RequestId, answer: Answer) -> bool {
         let Some(entry) = self.entries.get_mut(&id) else { return false };
         let Some(reply) = entry.reply.take() else { return false };
-        debug!("{} {} {:.0} ms after it came", entry.try_id, answer.kind(), self.clock.now() - entry.arrived);
+        debug!(
+            "try {}: {} {:.0} ms after its arrival",
+            entry.try_id,
+            answer.kind(),
+            self.clock.now() - entry.arrived
+        );
         reply.send(answer, self.node_status.level);
         if let Some(failsafe) = entry.failsafe_timer.take() {
             self.timers.try_remove(&failsafe);
@@ -88,7 +96,7 @@
         true
     }
 
-    /// Answers those that waited for the end of another try, and tells the decision module.
+    /// Answers the requests that waited for the end of another try, and notifies the decision module.
     pub(super) fn share_with_waiting(&mut self, waiting: Vec<RequestId>, state: &KeyState) {
         for id in waiting {
             if self.entries.get(&id).is_some_and(|entry| matches!(entry.phase, Phase::Sharing)) {
@@ -97,6 +105,7 @@
         }
     }
 
+    /// Answers a request with the outcome of another try of its key.
     pub(super) fn finish_sharing(&mut self, id: RequestId, state: KeyState) {
         let (answer, outcome) = match state {
             KeyState::Served(result) => (Answer::Served(result), Outcome::Ok),
@@ -107,13 +116,14 @@
         self.drop_unrun(id);
     }
 
+    /// Answers a request with the outcome of another try of its key, if that try is over.
     pub(super) fn share_if_finished(&mut self, id: RequestId, state: KeyState) {
         if !matches!(state, KeyState::Held | KeyState::Running) {
             self.finish_sharing(id, state);
         }
     }
 
-    /// Guards against a decision module or a processor that says nothing: no request stays without answer.
+    /// The failsafe: answers a request that is nearly due, in case the decision module or the processor does not respond.
     pub(super) fn failsafe_expired(&mut self, id: RequestId) {
         let Some(entry) = self.entries.get_mut(&id) else { return };
         entry.failsafe_timer = None;
@@ -130,9 +140,10 @@
         self.close_request(id);
     }
 
+    /// Refuses a request, or fails it if its key may have run.
     pub(super) fn refuse(&mut self, id: RequestId, stay_away_ms: f64, last: bool) {
         let Some(entry) = self.entries.get(&id) else { return };
-        // Nothing that ran, or shares a run, is ever refused: that would be a promise that it never ran.
+        // A refusal promises that the request never ran, so one that ran or shares a run must not be refused.
         let answer = match entry.phase {
             Phase::Held if entry.may_have_run_elsewhere && entry.key.is_some() && entry.reply.is_some() => {
                 return self.verify_before_refusal(id, stay_away_ms, last);
@@ -144,7 +155,8 @@
         self.clean_up(id);
     }
 
-    /// Whether another try of a held request's key has begun within its window: a refusal would deny that.
+    /// Whether another try of the request's key has begun, in whose window it arrived: a refusal would then be a
+    /// false promise.
     pub(super) fn key_has_run(&self, id: RequestId) -> bool {
         let Some(Entry { key: Some(key), arrived, .. }) = self.entries.get(&id) else { return false };
         key.is_operation() && self.idempotency.earlier(key, *arrived, true).is_some_and(|holder| holder != id)
--- a/src/exchange/catalog.rs
+++ b/src/exchange/catalog.rs
@@ -1,4 +1,4 @@
-//! What requests can name just now.
+//! The catalog of the classes and tenants that requests can currently name.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,40 +7,40 @@
 use crate::config::Site;
 use crate::interface::Effect;
 
-/// Classes and tenants as both sides need them. Places are never used again, so that a request keeps its class
-/// whatever becomes of it.
+/// Classes and tenants as the client side and the server side need them. Indices are never reused, so a request keeps its
+/// class even if that is removed.
 #[derive(Debug, Default)]
 pub struct Catalog {
-    /// Places of the classes that may be asked for, by name.
+    /// Indices of the offered classes, by name.
     pub classes: HashMap<String, usize>,
-    /// Places of the tenants by name.
+    /// Indices of the tenants, by name.
     pub tenants: HashMap<String, usize>,
-    /// Whether classes carry keys, by place.
+    /// Whether the requests of a class carry idempotency keys, by index.
     pub keyed: Vec<bool>,
-    /// The limits of classes, by place.
+    /// The deadlines of classes, by index.
     pub deadlines: Vec<Duration>,
-    /// The names of all classes by place, also of those that are gone.
+    /// The names of all classes by index, including removed ones.
     pub class_names: Vec<String>,
-    /// The names of the tenants by place; those that are gone have none.
+    /// The names of the tenants by index; empty for removed ones.
     pub tenant_names: Vec<String>,
-    /// How long front ends keep an idle connection; absent where they may for good.
+    /// How long clients keep an idle connection; `None` means without limit.
     pub idle_timeout: Option<Duration>,
 }
 
 impl Catalog {
-    /// What a site offers, with classes that have just been dropped or without them.
+    /// The catalog of a site, with or without recently removed classes.
     pub(super) fn of(site: &Site, with_retired: bool) -> Self {
-        let offered = |at: usize| with_retired || !site.settings.classes[at].retired;
-        let places = |names: &[String]| -> HashMap<String, usize> {
+        let offered = |index: usize| with_retired || !site.settings.classes[index].retired;
+        let indices = |names: &[String]| -> HashMap<String, usize> {
             let named = names.iter().cloned().enumerate().filter(|(_, name)| !name.is_empty());
-            named.map(|(at, name)| (name, at)).collect()
+            named.map(|(index, name)| (name, index)).collect()
         };
-        let mut classes = places(&site.classes);
-        classes.retain(|_, at| offered(*at));
+        let mut classes = indices(&site.classes);
+        classes.retain(|_, index| offered(*index));
         let idle_ms = Some(site.settings.idle_ms).filter(|ms| *ms > 0.0);
         Self {
             classes,
-            tenants: places(&site.tenants),
+            tenants: indices(&site.tenants),
             keyed: site.settings.classes.iter().map(|class| class.effect == Effect::Keyed).collect(),
             deadlines: site.settings.classes.iter().map(|class| span(class.deadline_ms)).collect(),
             class_names: site.classes.clone(),
--- a/src/exchange/core.rs
+++ b/src/exchange/core.rs
@@ -1,4 +1,5 @@
-//! Takes what has happened in batches, asks the decision module, and does as it says.
+//! The event loop of the exchange: takes inputs in batches, passes the resulting events to the decision module, and
+//! carries out its actions.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -26,14 +27,14 @@
 use crate::interface::{Action, Event, Gauges, RequestId, SayKind, SettingsError};
 use crate::logic::Controller;
 
-/// Inputs taken into one batch at the most, so that timers have their turn in a flood.
-const MAX_BATCH: usize = 512;
-/// Gauges that take longer than this to come are done without, in ms.
+/// Most inputs in one batch, so that timers are served even under a flood of inputs.
+const MAX_BATCH_INPUTS: usize = 512;
+/// When gauges take longer than this, in ms, the decision module continues without them.
 const GAUGES_TIMEOUT_MS: u64 = 15;
-/// Part of the node's own memory that keys and their results may take: one in so many.
+/// Fraction of the node's own memory that the idempotency table may take, as a divisor.
 const IDEMPOTENCY_MEMORY_SHARE: usize = 4;
 
-/// Where the exchange's decisions go.
+/// Channels from the exchange to the other tasks.
 pub(super) struct Outputs {
     pub to_processor: mpsc::UnboundedSender<Command>,
     pub to_dependency: mpsc::UnboundedSender<Call>,
@@ -41,14 +42,14 @@
     pub catalog_sender: watch::Sender<Rc<Catalog>>,
 }
 
-/// The meeting point of client side and server side.
+/// The state of a node's exchange: open requests, the idempotency table and the decision module.
 pub struct Exchange {
     pub(super) controller: Controller,
     pub(super) seed: u64,
     pub(super) site: Site,
     pub(super) clock: Anchored,
     pub(super) receipts: Rc<Receipts>,
-    /// When the decision module is to be woken next, by the clock.
+    /// When the decision module is to be woken next, by `clock`.
     pub(super) next_wake_at: f64,
     pub(super) next_id: Rc<Cell<u32>>,
     pub(super) inputs: mpsc::Receiver<Input>,
@@ -59,40 +60,41 @@
     pub(super) idempotency: IdempotencyTable,
     pub(super) events: Vec<Event>,
     pub(super) actions: Vec<Action>,
-    /// Where keys are claimed, if they are.
+    /// The channel for claims and replication of results; `None` while this node does neither.
     pub(super) replication: Option<ReplicationChannel>,
     pub(super) node_status: NodeStatus,
-    /// How often the settings have changed.
+    /// How many times new settings were applied.
     pub(super) settings_revision: u64,
-    /// The question for gauges that is out, with its wait until that is over.
+    /// The tag of the pending query for gauges, with its timer until that has expired.
     pub(super) gauge_query: Option<(u64, Option<delay_queue::Key>)>,
     pub(super) last_gauge_tag: u64,
     pub(super) last_call_serial: u64,
     pub(super) anomalies: Anomalies,
     pub(super) transitions: StateChangeLog,
-    /// Whether the processor has come up: nothing is decided before.
+    /// Whether the processor has come up. No request is admitted before.
     pub(super) processor_is_up: bool,
-    /// When it started, by what it said last.
+    /// When the processor started, as it reported last, by `clock`.
     pub(super) processor_started_at: f64,
-    /// Whether the notice to leave has come.
+    /// Whether the node is draining.
     pub(super) draining: bool,
-    /// Requests that are read later than this are never run; infinite without a notice.
+    /// Requests that are read later than this are not run; infinite unless the node is draining.
     pub(super) grace_ends: f64,
-    /// When all that is open is to be answered, as the process is stopped then; infinite without a notice.
+    /// When every open request must have been answered, because the process is stopped; infinite unless a stop is due.
     pub(super) stop_at: f64,
-    /// What the decision module says of its health, and what the operator wishes.
+    /// Whether the decision module wants traffic, and whether the operator has requested maintenance.
     pub(super) wants_traffic: bool,
     pub(super) maintenance: bool,
-    /// The next process of this node, once it has the keys.
+    /// The channel to the next process of this node, from the hand-over of the keys on.
     pub(super) successor: Option<mpsc::UnboundedSender<HandoverMessage>>,
-    /// What it was told last of the room that is taken here.
+    /// The resource use of this process that was last reported to the next one.
     pub(super) reported_resources: PredecessorResources,
-    /// What the process before takes, and the keys that it has in hand.
+    /// Resources that requests of the previous process still use.
     pub(super) predecessor_resources: PredecessorResources,
-    /// What is left of the runs of that process, once it has ended.
+    /// The runs that the previous process left behind, once it has ended.
     pub(super) orphaned_runs: Option<OrphanedRunEstimate>,
+    /// Keys whose tries are open at the previous process, with the identifiers that stand for those tries here.
     pub(super) predecessor_keys: HashMap<Key, RequestId>,
-    /// Told when nothing is open any more.
+    /// Notified once no request is open.
     pub(super) finished: Option<oneshot::Sender<()>>,
 }
 
@@ -146,7 +148,7 @@
         })
     }
 
-    /// Works until all that hold a handle are gone.
+    /// Runs the event loop until every [`Handle`](super::Handle) has been dropped.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
@@ -154,11 +156,11 @@
                     Some(input) => self.handle_input(input),
                     None => return,
                 },
-                Some(wait) = poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
-                    self.handle_timer(wait.into_inner());
+                Some(expired) = poll_fn(|cx| self.timers.poll_expired(cx)), if !self.timers.is_empty() => {
+                    self.handle_timer(expired.into_inner());
                 }
             }
-            for _ in 1..MAX_BATCH {
+            for _ in 1..MAX_BATCH_INPUTS {
                 let Ok(input) = self.inputs.try_recv() else { break };
                 self.handle_input(input);
             }
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Lets the decision module answer until nothing new follows from its own actions.
+    /// Runs the decision module until its actions cause no further events, and publishes a changed node status.
     fn process_events(&mut self) {
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
@@ -204,27 +206,27 @@
             Input::Gauges { tag, values } => self.gauges_received(tag, &values),
             Input::CallRepeated(id) => self.events.push(Event::CallRepeated(id)),
             Input::Anomaly(anomaly) => self.count_anomaly(anomaly),
-            Input::Replication(id, news) => self.replication_update(id, news),
+            Input::Replication(id, update) => self.replication_update(id, update),
             Input::HandOver(successor) => self.hand_over(successor),
             Input::FromPredecessor(handed) => self.receive_handover(handed),
             Input::PredecessorEnded => self.predecessor_ended(),
             Input::Finish(finished) => self.finished = Some(finished),
             Input::ApplySettings(site) => self.apply_settings(*site),
-            Input::Maintenance(wished) => {
-                self.maintenance = wished;
+            Input::Maintenance(requested) => {
+                self.maintenance = requested;
                 self.update_status();
             }
-            Input::Standby(wished) => {
-                info!("standby {}", if wished { "on" } else { "off" });
-                self.node_status.standby = wished;
+            Input::Standby(requested) => {
+                info!("standby {}", if requested { "on" } else { "off" });
+                self.node_status.standby = requested;
                 self.update_status();
             }
             Input::Drain { stop_in_ms } => self.drain(stop_in_ms),
         }
     }
 
-    fn handle_timer(&mut self, wait: Timer) {
-        match wait {
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
             Timer::Wake => {
                 let now = self.clock.now();
                 self.receipts.timer_was_late(now - self.next_wake_at);
@@ -233,8 +235,8 @@
                 self.report_resources();
             }
             Timer::Gauges(tag) => {
-                if let Some((_, late)) = self.gauge_query.as_mut().filter(|(asked, _)| *asked == tag) {
-                    *late = None;
+                if let Some((_, timeout)) = self.gauge_query.as_mut().filter(|(pending, _)| *pending == tag) {
+                    *timeout = None;
                     self.events.push(Event::Timer(Gauges::default()));
                 }
             }
@@ -242,7 +244,7 @@
             Timer::RunInquiry(id) => self.query_run(id),
             Timer::KeyExpiry(key, id) => self.key_expired(key, id),
             Timer::ReplicationTimeout(id) => self.replication_late(id),
-            Timer::RetiredClasses(retuned) if retuned == self.settings_revision => {
+            Timer::RetiredClasses(revision) if revision == self.settings_revision => {
                 self.publish_catalog(false)
             }
             Timer::RetiredClasses(_) => {}
@@ -250,9 +252,9 @@
         }
     }
 
-    /// Counts what should not happen. Guards the log against a line for each request when much goes wrong.
+    /// Counts an anomaly of a try. Counting instead of logging keeps the log short when many requests are affected.
     pub(super) fn record_anomaly(&mut self, anomaly: Anomaly, try_id: TryId) {
-        debug!("{try_id} {anomaly}");
+        debug!("try {try_id} is counted: {anomaly}");
         self.count_anomaly(anomaly);
     }
 
@@ -262,35 +264,35 @@
         }
     }
 
-    /// Logs what was counted since the last report, and looks again in a period while there is anything to count.
+    /// Logs the anomalies counted since the last report, and schedules the next report while an episode lasts.
     pub(super) fn report_anomalies(&mut self) {
         if self.anomalies.report() {
             self.timers.insert(Timer::AnomalyReport, self.anomalies.period());
         }
     }
 
-    /// Gauges have come: those of a question that is over are passed over.
+    /// Handles received gauges; those of an outdated query are ignored.
     fn gauges_received(&mut self, tag: u64, values: &[f32]) {
-        if let Some((_, late)) = self.gauge_query.take_if(|(asked, _)| *asked == tag) {
+        if let Some((_, timeout)) = self.gauge_query.take_if(|(pending, _)| *pending == tag) {
             let gauges = gauges(&self.site.gauges, values);
             self.update_orphaned_runs(gauges.on_cores);
-            if let Some(late) = late {
-                self.timers.try_remove(&late);
+            if let Some(timeout) = timeout {
+                self.timers.try_remove(&timeout);
                 self.events.push(Event::Timer(gauges));
             }
         }
     }
 
-    /// Asks for the gauges, one question at a time: guards against a queue of them that grows for as long as
-    /// the processor is silent. The decision module is woken without them meanwhile.
+    /// Requests the gauges from the processor. Only one query is pending at a time, so that no queue of them grows
+    /// while the processor does not respond; until then the decision module is woken without gauges.
     pub(super) fn request_gauges(&mut self) {
         if self.gauge_query.is_some() {
             return self.events.push(Event::Timer(Gauges::default()));
         }
         self.last_gauge_tag += 1;
-        let late =
+        let timeout =
             self.timers.insert(Timer::Gauges(self.last_gauge_tag), Duration::from_millis(GAUGES_TIMEOUT_MS));
-        self.gauge_query = Some((self.last_gauge_tag, Some(late)));
+        self.gauge_query = Some((self.last_gauge_tag, Some(timeout)));
         let _ = self.outputs.to_processor.send(Command::ReadGauges { tag: self.last_gauge_tag });
     }
 
@@ -298,7 +300,7 @@
         match action {
             Action::Run(id) => self.start_run(id),
             Action::Refuse { id, stay_away_ms, last } => self.refuse(id, stay_away_ms, last),
-            // Its run is over and well: only its copies are late.
+            // Its run has succeeded; only the replication of the result is late.
             Action::Fail(id) if self.is_replicating(id) => self.replication_late(id),
             Action::Fail(id) => {
                 self.send_answer(id, Answer::Failed);
@@ -308,7 +310,7 @@
             Action::Skip(id) => self.skip_call(id),
             Action::Reuse(id) => self.reuse_result(id),
             Action::Keep { id, .. } => self.retain_key(id),
-            // A held try leaves the table with its entry; one that ran must stay there.
+            // The record of a held try is removed with its entry; that of a try that ran must stay.
             Action::Forget(_) => {}
             Action::Health { good } => {
                 self.wants_traffic = good;
--- a/src/exchange/entry.rs
+++ b/src/exchange/entry.rs
@@ -1,4 +1,4 @@
-//! What the exchange knows of one request, and what it waits for.
+//! The state that the exchange keeps for one request, and the timers of the exchange.
 
 use bytes::Bytes;
 use tokio::sync::oneshot;
@@ -10,89 +10,92 @@
 use super::types::{Origin, ReplyTo, TryId};
 use crate::interface::RequestId;
 
-/// One wait of the exchange.
+/// A timer of the exchange.
 pub(super) enum Timer {
-    /// The decision module asked to be woken.
+    /// The decision module requested to be woken.
     Wake,
-    /// Gauges are late.
+    /// The query for gauges with this tag timed out.
     Gauges(u64),
-    /// A request is nearly due.
+    /// A request is nearly due and must be answered now.
     Failsafe(RequestId),
-    /// A run that nobody waits for has not ended: the processor is asked about it.
+    /// A run that no caller waits for has not ended: the processor is queried about it.
     RunInquiry(RequestId),
-    /// A kept key has outlived its use.
+    /// The record of a key may be removed.
     KeyExpiry(Key, RequestId),
-    /// Classes that were dropped at this retuning are served no more.
+    /// Classes removed by the settings of this revision are no longer offered.
     RetiredClasses(u64),
-    /// Anomalies are to be logged.
+    /// The counted anomalies are to be logged.
     AnomalyReport,
-    /// A result's copies are late.
+    /// The replication of a result timed out.
     ReplicationTimeout(RequestId),
 }
 
-/// How far a request has come.
+/// The phase of a request.
 pub(super) enum Phase {
+    /// Waits for the decision module.
     Held,
+    /// Waits for the result of another try of its key.
     Sharing,
-    /// Its key is being claimed since then; perhaps another node has it.
-    Claiming {
-        since: f64,
-        held_elsewhere: bool,
-    },
-    /// It was to be refused, and the holders are asked whether anybody has run its key. The decision module is done with it.
-    VerifyingRefusal {
-        stay_away_ms: f64,
-        last: bool,
-    },
+    /// Its key is being claimed at other nodes since `since`; `held_elsewhere` if another node has the claim.
+    Claiming { since: f64, held_elsewhere: bool },
+    /// The decision module has refused it. Before the refusal is sent, the holders are queried whether another node
+    /// has run its key.
+    VerifyingRefusal { stay_away_ms: f64, last: bool },
+    /// Runs at the processor.
     Running,
+    /// Its run waits for a call.
     AwaitingCall(PendingCall),
-    /// It has run, and its result is copied ahead of its answer.
+    /// It has run, and its result is replicated before the answer is sent.
     Replicating(claims::UnreplicatedResult),
 }
 
 /// The call that a run waits for.
 pub(super) struct PendingCall {
+    /// The sequence number of the processor's notice.
     pub(super) notice: u64,
     pub(super) body: Bytes,
-    /// The number of the call that is out; the sender is dropped to give the call up.
+    /// Serial number of the call in progress; dropping the sender abandons the call.
     pub(super) placed: Option<(u64, oneshot::Sender<()>)>,
 }
 
+/// An open request, or one whose run continues after its answer.
 pub(super) struct Entry {
     pub(super) try_id: TryId,
     pub(super) class: usize,
     pub(super) origin: Origin,
     pub(super) key: Option<Key>,
-    /// Its body, in short; the body itself goes with the run.
+    /// Digest of the body.
     pub(super) digest: u64,
-    /// When it was read, and when it came to the machine, as far as clocks tell. Its age may be overestimated, so a
-    /// window that it opens counts from the former: it never ends early.
+    /// When the request was read, and when it reached its caller's machine as far as the clocks show. Its age may be
+    /// overestimated, so the window of repeats counts from `received`: it never ends early.
     pub(super) received: f64,
     pub(super) arrived: f64,
     pub(super) body: Bytes,
-    /// Whether its key is claimed at further nodes, and how long that took, in ms.
+    /// Whether its key is claimed at other nodes, and how long that took, in ms.
     pub(super) claimed: bool,
     pub(super) claim_ms: f64,
     /// Whether its key may have run at another node.
     pub(super) may_have_run_elsewhere: bool,
-    /// Work to expect, where its caller says.
+    /// The caller's estimate of the work, in ms, if it gave one.
     pub(super) hint_ms: Option<f64>,
-    /// Gone once the request is answered or given up.
+    /// `None` once the request is answered or its caller has gone.
     pub(super) reply: Option<ReplyTo>,
-    /// When its answer is due at the latest, by the exchange's clock, in ms.
+    /// The latest time for its answer, by the exchange's clock, in ms.
     pub(super) due: f64,
     /// When the processor was told to run it, by the exchange's clock, in ms.
     pub(super) began_at: f64,
-    /// When its caller has given it up at the latest, by the exchange's clock, in ms.
+    /// The latest time at which its caller gives up, by the exchange's clock, in ms.
     pub(super) given_up_by: f64,
-    /// The questions about the end of its run, once nobody waits for that any more.
+    /// The queries about the end of its run, once no caller waits for it.
     pub(super) inquiry: Option<Inquiry>,
-    /// The wait until it is nearly due. Gone once that is over or called off: the queue uses its keys again.
+    /// The timer that answers it shortly before it is due. `None` once it has expired or was cancelled, because the queue
+    /// reuses its keys.
     pub(super) failsafe_timer: Option<delay_queue::Key>,
     pub(super) phase: Phase,
 }
 
 impl Entry {
+    /// Whether the request runs at the processor.
     pub(super) fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::AwaitingCall(_))
     }
--- a/src/exchange/mod.rs
+++ b/src/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! The core of a node: requests, attempts and outcomes. It owns the decision module and carries out every
-//! action of it. Client side and server side are tasks of their own that meet only here.
+//! The core of a node: open requests, their runs and outcomes. It owns the decision module and carries out all of its
+//! actions. The client side and the server side run as separate tasks and communicate only through the exchange.
 
 mod anomalies;
 mod answers;
@@ -40,10 +40,10 @@
     Anomaly, Answer, Call, Command, IncomingRequest, Input, NodeStatus, Origin, Reply, ReplyTo, TryId,
 };
 
-/// Inputs that wait for the exchange before those who give them have to.
+/// Capacity of the input queue; senders wait while it is full.
 const INPUT_QUEUE_CAPACITY: usize = 4096;
 
-/// The side of an exchange that clients and servers hold.
+/// Handle to an exchange, held by the client side and the server side.
 #[derive(Clone)]
 pub struct Handle {
     inputs: mpsc::Sender<Input>,
@@ -54,12 +54,12 @@
 }
 
 impl Handle {
-    /// A number for a further request.
+    /// Allocates the identifier of a new request.
     pub fn new_id(&self) -> RequestId {
         next_request_id(&self.next_id)
     }
 
-    /// What a request comes to that says when it was sent.
+    /// Computes the age and the due time of a request that carries the time at which it was sent (`ts_ms`).
     pub fn receipt(
         &self,
         ts_ms: f64,
@@ -71,52 +71,53 @@
         self.receipts.receipt(ts_ms, Terms { patience: caller_timeout, limit }, at)
     }
 
-    /// Hands over a request under its number; its answer goes to `reply`.
+    /// Submits a request under the given identifier; its answer is sent to `reply`.
     pub async fn submit(&self, id: RequestId, request: IncomingRequest, reply: ReplyTo) {
         self.send(Input::Submit(id, request, reply)).await;
     }
 
-    /// Tells of anything else that has happened.
+    /// Sends any other input to the exchange.
     pub async fn send(&self, input: Input) {
-        // The exchange ends only with the process.
+        // Cannot fail: the exchange lives as long as the process.
         let _ = self.inputs.send(input).await;
     }
 
-    /// What the node shows of itself, now and as it changes.
+    /// The status of the node, now and whenever it changes.
     pub fn node_status(&self) -> watch::Receiver<NodeStatus> {
         self.node_status.clone()
     }
 
-    /// What requests can name just now.
+    /// The classes and tenants that requests can currently name.
     pub fn catalog(&self) -> Rc<Catalog> {
         self.catalog.borrow().clone()
     }
 }
 
-fn next_request_id(ids: &Cell<u32>) -> RequestId {
-    let id = RequestId(ids.get());
-    ids.set(id.0.wrapping_add(1).max(1));
+fn next_request_id(next_id: &Cell<u32>) -> RequestId {
+    let id = RequestId(next_id.get());
+    next_id.set(id.0.wrapping_add(1).max(1));
     id
 }
 
-/// The queues from the exchange to the server side.
+/// Receiving ends of the queues from the exchange to the server side.
 pub struct ServerQueues {
-    /// To the processor.
+    /// Commands to the processor.
     pub commands: mpsc::UnboundedReceiver<Command>,
-    /// To the tier below.
+    /// Calls to the dependency.
     pub calls: mpsc::UnboundedReceiver<Call>,
 }
 
-/// Makes an exchange and what its two sides need. Keys and results keep within a part of `memory_bytes`.
+/// Creates an exchange, its handle and the queues for the server side. The idempotency table stays within a fixed
+/// fraction of `memory_bytes`.
 ///
 /// # Errors
-/// The settings make no sense to the decision module.
+/// The decision module rejects the settings.
 pub fn new(
     seed: u64,
     site: &Site,
     memory_bytes: usize,
 ) -> Result<(Exchange, Handle, ServerQueues), SettingsError> {
-    let (inputs, from_sides) = mpsc::channel(INPUT_QUEUE_CAPACITY);
+    let (inputs, input_receiver) = mpsc::channel(INPUT_QUEUE_CAPACITY);
     let (to_processor, commands) = mpsc::unbounded_channel();
     let (to_dependency, calls) = mpsc::unbounded_channel();
     let (status_sender, node_status) = watch::channel(NodeStatus::default());
@@ -128,7 +129,7 @@
         site,
         memory_bytes,
         next_id.clone(),
-        from_sides,
+        input_receiver,
         core::Outputs { to_processor, to_dependency, status_sender, catalog_sender },
         receipts.clone(),
     )?;
--- a/src/exchange/types.rs
+++ b/src/exchange/types.rs
@@ -1,4 +1,5 @@
-//! What client side and server side hand to the exchange and get from it. No socket and no wire is named here.
+//! The messages between the exchange and its two sides, the client side (fronts) and the server side (processor and
+//! dependency). They are independent of any transport or wire format.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -14,25 +15,25 @@
 use crate::interface::{Outcome, RequestId};
 use crate::replication::News;
 
-/// The name of one try of a request, as its caller and the processor know it: 16 hexadecimal digits.
+/// Identifier of one try of a request, shared by its caller and the processor: 16 hexadecimal digits.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct TryId([u8; 16]);
 
 impl TryId {
-    /// Takes exactly 16 hexadecimal digits.
+    /// Parses exactly 16 hexadecimal digits.
     pub fn parse(text: &[u8]) -> Option<Self> {
         let digits: [u8; 16] = text.try_into().ok()?;
         digits.iter().all(u8::is_ascii_hexdigit).then_some(Self(digits))
     }
 
-    /// A name for a try whose caller gives none.
+    /// Generates an identifier for a try whose caller gives none.
     pub fn random() -> Self {
         let mut digits = [0; 16];
         digits.fill_with(|| b"0123456789abcdef"[fastrand::usize(..16)]);
         Self(digits)
     }
 
-    /// The digits.
+    /// The hexadecimal digits as text.
     pub fn as_str(&self) -> &str {
         std::str::from_utf8(&self.0).unwrap_or_default()
     }
@@ -50,57 +51,57 @@
     }
 }
 
-/// A request as a front has read it.
+/// A request as read by a front.
 #[derive(Debug)]
 pub struct IncomingRequest {
-    /// The name of this try.
+    /// Identifier of this try.
     pub try_id: TryId,
     /// Index of its class.
     pub class: usize,
     /// Index of its tenant.
     pub tenant: usize,
-    /// Whether it names that tenant itself: one that names none counts as the first's.
+    /// Whether the request itself names that tenant. A request that names none is accounted to the first tenant.
     pub names_tenant: bool,
-    /// Where it comes from, as far as its front knows.
+    /// Address of the client, if the front knows it.
     pub address: Option<IpAddr>,
-    /// In keyed classes: the same for all tries of one request.
+    /// Idempotency key, in keyed classes: the same for all tries of one request.
     pub op_key: Option<Arc<str>>,
-    /// What a read is about.
+    /// Subject of a read.
     pub subject: Option<u64>,
-    /// Whether it is marked as a further try.
+    /// Whether its caller marked it as a repeated try.
     pub is_retry: bool,
-    /// Rough expected work, in ms.
+    /// The caller's rough estimate of the work, in ms.
     pub hint_ms: Option<f64>,
-    /// Memory while held, in kB.
+    /// Memory that the request takes while held, in kB.
     pub held_kb: f64,
-    /// When it was read.
+    /// When the front read it.
     pub received: Instant,
-    /// How long before that it came to the machine.
+    /// How long before `received` it reached the caller's machine.
     pub age: Duration,
-    /// How long after it came to the machine its caller gives up; the class's limit where it is not told.
+    /// How long after it reached the caller's machine the caller gives up; `None` means the deadline of its class.
     pub caller_timeout: Option<Duration>,
-    /// The body, as it came.
+    /// The body, unchanged.
     pub body: Bytes,
 }
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// Served, with the result of the run.
+    /// The run succeeded, with this result.
     Served(Bytes),
-    /// Turned away; this try never ran.
+    /// Refused: this try is guaranteed not to have run.
     Refused {
-        /// How long to stay away, in ms; 0 for no advice.
+        /// How long the caller should wait before it sends again, in ms; 0 for no advice.
         stay_away_ms: f64,
-        /// Whether no other node is to be tried.
+        /// Whether the caller should try no other node.
         last: bool,
     },
-    /// Failed, with no promise that it never ran.
+    /// Failed: the try may or may not have run.
     Failed,
 }
 
 impl Answer {
-    /// Its kind in a word, without what it holds.
+    /// The kind of answer as a word for the log, without the result.
     pub(super) fn kind(&self) -> &'static str {
         match self {
             Self::Served(_) => "served",
@@ -110,83 +111,84 @@
     }
 }
 
-/// An answer on its way to the client that is owed it.
+/// An answer on its way to its client.
 #[derive(Debug)]
 pub struct Reply {
-    /// The client's own name for the request.
+    /// The front's identifier of the request.
     pub token: u64,
     /// The answer.
     pub answer: Answer,
-    /// The free value that goes with it.
+    /// The load signal sent along with the answer (see [`SayKind`](crate::interface::SayKind)).
     pub level: Option<f64>,
-    /// The request's place on its connection, free again once this is written.
+    /// The request's permit among those of its connection, released once the answer is written.
     pub slot: Option<OwnedSemaphorePermit>,
 }
 
-/// Where the answer to a request goes. It can be used once.
+/// Destination of the answer to one request. Sending consumes it.
 #[derive(Debug)]
 pub struct ReplyTo {
-    /// The client's queue.
+    /// The queue of answers of the client's connection.
     pub queue: mpsc::UnboundedSender<Reply>,
-    /// The client's own name for the request.
+    /// The front's identifier of the request.
     pub token: u64,
-    /// The request's place on its connection.
+    /// The request's permit among those of its connection.
     pub slot: Option<OwnedSemaphorePermit>,
 }
 
 impl ReplyTo {
     pub(super) fn send(self, answer: Answer, level: Option<f64>) {
-        // A client that has gone has no use for its answer.
+        // A closed queue means that the client has disconnected.
         let _ = self.queue.send(Reply { token: self.token, answer, level, slot: self.slot });
     }
 }
 
-/// What should not happen, and is counted for the log.
+/// Abnormal conditions that are counted for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Anomaly {
-    /// Answered by the failsafe, as the decision module was silent until it was nearly due.
+    /// A request was answered by the failsafe, because the decision module had not decided until shortly before it
+    /// was due.
     Failsafe,
-    /// A second run within the window that the table of keys has stopped.
+    /// The idempotency table prevented a second run of a key within its window.
     DuplicateRunPrevented,
-    /// Turned away as the table of keys is full.
+    /// A request was turned away because the idempotency table is full.
     IdempotencyTableFull,
-    /// Failed unread, as its class or one of its fields makes no sense.
+    /// A request failed without being processed, because its class or one of its fields is invalid.
     InvalidRequest,
-    /// A command that the processor has not carried out.
+    /// The processor rejected a command.
     RejectedByProcessor,
-    /// Failed, as its name is that of an open request or its key that of another body.
+    /// A request failed because an open request has its try identifier, or because its key was used with another body.
     IdentifierConflict,
-    /// Failed, as it was read so late that a run of its key may be forgotten.
+    /// A request failed because it was read so late that the record of an earlier run of its key may have expired.
     ReceivedTooLate,
-    /// Failed, as its key came to light only after all keys were handed to the next process.
+    /// A request failed because its key was first seen after all keys were handed over to the next process.
     KeysHandedOver,
-    /// A connection that was closed for what came on it.
+    /// A connection was closed because of a protocol error.
     ProtocolError,
-    /// A connection that was closed as nothing whole came on it.
+    /// A connection was closed because no complete message arrived on it in time.
     IncompleteInput,
-    /// A connection that was closed as its answers were not read.
+    /// A connection was closed because the client did not read its answers.
     AnswersNotRead,
-    /// A connection that was closed unread, as there was no room for it.
+    /// A connection was closed unread because the limit of connections was reached.
     ConnectionLimit,
-    /// A connection that could not be accepted.
+    /// A connection could not be accepted.
     AcceptFailed,
-    /// A run that goes on long after its caller was answered or left.
+    /// A run continues long after its caller was answered or gave up.
     RunOutlastsCaller,
-    /// A run that the processor knows nothing of any more, as it says when it is asked.
+    /// The processor, when queried, no longer knew a run whose end it had not reported.
     RunUnknownToProcessor,
-    /// A question about servers from an address that may not ask.
+    /// A query for server statistics came from an address without permission.
     StatsQueryForbidden,
-    /// Refused, as the holders of its key could not be reached.
+    /// A request was refused because the holders of its key could not be reached.
     HoldersUnreachable,
-    /// Refused, as the holders of its key have no room.
+    /// A request was refused because the holders of its key have no free capacity.
     HoldersFull,
-    /// Run under this node's own table alone, as the holders of its key could not be reached.
+    /// A request ran under this node's own table alone, because the holders of its key could not be reached.
     RunWithoutClaim,
-    /// Failed, as it cannot be known whether another node has run it.
+    /// A request failed because another node may have run its key, with unknown outcome.
     MayHaveRunElsewhere,
-    /// Failed, as its result could not be copied in time.
+    /// A request failed because its result could not be replicated in time.
     ResultNotReplicated,
-    /// Served, though its result could not be copied in time.
+    /// A request was served although its result could not be replicated in time.
     ServedBeforeReplication,
 }
 
@@ -194,194 +196,194 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Failsafe => "requests answered by the failsafe",
-            Self::DuplicateRunPrevented => "requests repeated a run and were not run",
-            Self::IdempotencyTableFull => "requests turned away with the table of keys full",
-            Self::InvalidRequest => "requests failed unread",
+            Self::DuplicateRunPrevented => "requests not run, as their idempotency keys have run already",
+            Self::IdempotencyTableFull => "requests turned away, as the idempotency table is full",
+            Self::InvalidRequest => "requests failed for invalid fields",
             Self::RejectedByProcessor => "requests rejected by the processor",
-            Self::IdentifierConflict => "requests failed for a name or key that is another's",
-            Self::ReceivedTooLate => "requests failed as they were read after their keys may be forgotten",
-            Self::KeysHandedOver => "requests failed as the next process has all keys",
-            Self::ProtocolError => "connections closed for what came on them",
-            Self::IncompleteInput => "connections closed as nothing whole came on them",
-            Self::AnswersNotRead => "connections closed as their answers were not read",
-            Self::ConnectionLimit => "connections closed unread for lack of room",
+            Self::IdentifierConflict => "requests failed: try identifier or key in use by another request",
+            Self::ReceivedTooLate => "requests failed, read when records of their keys may have expired",
+            Self::KeysHandedOver => "requests failed, as all keys were handed over to the next process",
+            Self::ProtocolError => "connections closed for protocol errors",
+            Self::IncompleteInput => "connections closed, as no complete message arrived in time",
+            Self::AnswersNotRead => "connections closed, as the client did not read its answers",
+            Self::ConnectionLimit => "connections closed unread at the connection limit",
             Self::AcceptFailed => "connections could not be accepted",
-            Self::RunOutlastsCaller => "runs that go on long after their callers were answered or left",
-            Self::RunUnknownToProcessor => "runs that the processor had forgotten the end of",
-            Self::StatsQueryForbidden => "questions about servers from addresses that may not ask",
-            Self::HoldersUnreachable => "requests refused as the holders of their keys were not reached",
-            Self::HoldersFull => "requests refused as the holders of their keys have no room",
+            Self::RunOutlastsCaller => "runs continue long after their callers were answered or gave up",
+            Self::RunUnknownToProcessor => "runs unknown to the processor, with no end reported",
+            Self::StatsQueryForbidden => "queries for server statistics from addresses without permission",
+            Self::HoldersUnreachable => "requests refused, as the holders of their keys were unreachable",
+            Self::HoldersFull => "requests refused, as the holders of their keys have no free capacity",
             Self::RunWithoutClaim => "requests run without a claim, under this node's own table alone",
-            Self::MayHaveRunElsewhere => "requests failed as another node may have run them",
-            Self::ResultNotReplicated => "requests failed as their results were not copied in time",
-            Self::ServedBeforeReplication => "requests served with their results not copied in time",
+            Self::MayHaveRunElsewhere => "requests failed, as another node may have run them",
+            Self::ResultNotReplicated => "requests failed, as their results were not replicated in time",
+            Self::ServedBeforeReplication => "requests served before their results were replicated",
         })
     }
 }
 
-/// What happens to a node.
+/// An event that the client side, the server side or the rest of the node reports to the exchange.
 #[derive(Debug)]
 pub enum Input {
-    /// The processor is up; nothing is decided before.
+    /// The processor is up. The exchange admits no request before the first one.
     ProcessorUp {
-        /// Whether it started cold.
+        /// Whether the processor started cold.
         cold: bool,
-        /// How long ago it started, in ms.
+        /// How long ago the processor started, in ms.
         age_ms: f64,
     },
-    /// A client asks.
+    /// A client sent a request.
     Submit(RequestId, IncomingRequest, ReplyTo),
-    /// A client waits no longer.
+    /// A client no longer waits for its answer.
     Abandon(RequestId),
-    /// A run is over.
+    /// A run has ended.
     RunEnded {
-        /// Whose run.
+        /// The try that ran.
         try_id: TryId,
         /// How it ended.
         outcome: Outcome,
         /// How long it took, in ms.
         took_ms: f64,
-        /// The result, where it went well.
+        /// The result of a successful run.
         result: Bytes,
     },
-    /// A run waits for a call to what lies below.
+    /// A run waits for the reply to a call to the dependency.
     RunAwaitsCall {
-        /// Whose run.
+        /// The try that waits.
         try_id: TryId,
-        /// The processor's number for this wait.
+        /// The sequence number of the processor's notice.
         notice: u64,
         /// The body of the call.
         body: Bytes,
     },
     /// A call has ended.
     CallEnded {
-        /// Whose call.
+        /// The request that the call was made for.
         id: RequestId,
-        /// Which of its calls.
+        /// Serial number of the call.
         serial: u64,
         /// How it ended.
         outcome: Outcome,
         /// How long it took, in ms.
         took_ms: f64,
-        /// The reply, where it went well.
+        /// The reply to a successful call.
         reply: Bytes,
     },
-    /// The call of a request was given up and made a second time.
+    /// The call of a request was abandoned and made a second time.
     CallRepeated(RequestId),
-    /// The gauges that were asked for under this tag.
+    /// The gauges that were requested under this tag.
     Gauges {
-        /// The tag of the question.
+        /// The tag of the query.
         tag: u64,
-        /// The values, in the order of the settings.
+        /// The values, in the order in which the settings list the gauges.
         values: Vec<f32>,
     },
-    /// Something has gone wrong with a request that the exchange does not see itself.
+    /// An abnormal condition that the exchange cannot see itself.
     Anomaly(Anomaly),
-    /// What is heard of a claim, or of the copies of a result.
+    /// An update on a claim, or on the replication of a result.
     Replication(RequestId, News),
-    /// A further process of this node is ready: it is handed the keys, and told of those that change.
+    /// The next process of this node is ready: the exchange sends it all keys, and later those that change.
     HandOver(mpsc::UnboundedSender<HandoverMessage>),
-    /// The process before hands this over.
+    /// A message of the hand-over from the previous process.
     FromPredecessor(HandoverMessage),
-    /// The process before has ended: what it had in hand, and has not told the end of, may have run.
+    /// The previous process has ended. Its open requests whose end it has not reported may have run.
     PredecessorEnded,
-    /// Resolves once nothing is open any more and nothing runs.
+    /// Resolve the channel once no request is open and nothing runs.
     Finish(oneshot::Sender<()>),
-    /// New settings are in force.
+    /// Apply new settings.
     ApplySettings(Box<Site>),
-    /// Whether the operator wants no traffic sent here, as the store has it.
+    /// Whether the operator has put the node into maintenance in the store, so that it should get no traffic.
     Maintenance(bool),
-    /// The same, as told at the operators' door.
+    /// Whether the operator has put the node into standby over the admin interface.
     Standby(bool),
-    /// The notice to leave: the process is stopped after this many ms.
+    /// Drain the node: the process will be stopped soon.
     Drain {
-        /// Time until the stop, in ms.
+        /// Time until the process is stopped, in ms.
         stop_in_ms: f64,
     },
 }
 
-/// What the processor is to do.
+/// Commands to the processor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Run a request.
     Run {
-        /// Which.
+        /// The try to run.
         try_id: TryId,
         /// Index of its class.
         class: usize,
-        /// Its body.
+        /// The body of the request.
         body: Bytes,
     },
-    /// The reply to the call that a run waits for.
+    /// Deliver the reply to the call that a run waits for.
     CallReply {
-        /// Whose run.
+        /// The try that waits.
         try_id: TryId,
         /// The reply.
         body: Bytes,
     },
-    /// Go on without the call.
+    /// Continue the run without its call.
     SkipCall {
-        /// Whose run.
+        /// The try that waits.
         try_id: TryId,
-        /// The processor's number for the wait.
+        /// The sequence number of the notice that announced the wait.
         notice: u64,
     },
-    /// Ask for the gauges.
+    /// Report the gauges.
     ReadGauges {
-        /// Comes back with them.
+        /// Returned with the values.
         tag: u64,
     },
 }
 
-/// What a request is, as far as the way of its calls goes by it.
+/// The properties of a request that decide how its calls are routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Origin {
     /// Index of its class.
     pub class: usize,
-    /// Index of its tenant, where it names one.
+    /// Index of its tenant, if the request names one.
     pub tenant: Option<usize>,
-    /// What it is about, where it says.
+    /// Its subject, if it names one.
     pub subject: Option<u64>,
-    /// Where it comes from, as far as its front knows.
+    /// Address of the client, if the front knows it.
     pub address: Option<IpAddr>,
 }
 
-/// A call to what lies below.
+/// A call to the dependency.
 #[derive(Debug)]
 pub struct Call {
-    /// The request that it is made for.
+    /// The request that the call is made for.
     pub id: RequestId,
-    /// Which of its calls.
+    /// Serial number of the call.
     pub serial: u64,
-    /// The try that it is made for.
+    /// The try that the call is made for.
     pub try_id: TryId,
-    /// What the request is.
+    /// The properties of the request that matter for routing.
     pub origin: Origin,
-    /// How long it may take, in ms.
+    /// How long the call may take, in ms.
     pub timeout_ms: f64,
-    /// The work to expect, as the request was hinted; absent where it was not.
+    /// The caller's estimate of the request's work, in ms; `None` if it gave none.
     pub hint_ms: Option<f64>,
-    /// The body.
+    /// The body of the call.
     pub body: Bytes,
-    /// Whether it may be made a second time though the first may have run.
+    /// Whether the call may be made a second time although the first may have run.
     pub safe: bool,
-    /// Whether there is room for a second one beside it, should its reply be late: the first may linger.
+    /// Whether the call budget allows a second call if the reply is late; the first may still be running then.
     pub repeatable: bool,
-    /// Resolves when the call is given up.
+    /// Resolves when the call is abandoned.
     pub given_up: oneshot::Receiver<()>,
 }
 
-/// What a node shows of itself between requests.
+/// The state that a node reports to clients, health checks and operators.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeStatus {
-    /// Whether it wants traffic.
+    /// Whether the node wants traffic.
     pub healthy: bool,
-    /// Whether it is up and nobody has told it to send clients away.
+    /// Whether the processor is up and neither a drain, a hand-over, maintenance nor standby keeps clients away.
     pub ready: bool,
-    /// Whether it has been told so at the operators' door.
+    /// Whether the operator has put the node into standby over the admin interface.
     pub standby: bool,
-    /// The free value, once there is one.
+    /// The current load signal, if there is one.
     pub level: Option<f64>,
-    /// Connections idle for this many ms are closed, where that is wished.
+    /// Connections that are idle for this many ms are closed; `None` means never.
     pub idle_ms: Option<f64>,
 }
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,75 +1,75 @@
-//! Errors that tests plant to see that checkers find them. Builds without debug assertions have none.
+//! Faults that tests inject to verify that their checkers detect them. Builds without debug assertions inject none.
 
 use std::cell::Cell;
 use std::sync::LazyLock;
 
-/// What is done wrong.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The meet lets through what either lets through.
+    /// The meet of two restrictions admits whatever either of them admits.
     MeetIsJoin,
-    /// An aggregate carries the restrictions of its first part alone.
+    /// An aggregate route carries only the restrictions of its first part.
     AggregateLoses,
-    /// Withdrawals and tightened restrictions wait behind all else.
+    /// Withdrawals and tightened restrictions are sent after all other changes.
     WithdrawalWaits,
-    /// A stale table has no end.
+    /// A stale table never expires.
     StaleForEver,
-    /// A route is told on with as many sites to go as before.
+    /// A route is forwarded without decrementing the number of sites that it may still pass.
     NotDecreased,
-    /// A route is told to sites that it came through.
+    /// A route is advertised to sites that it came through.
     LoopIsTold,
-    /// A route that is to be part of no wider one is.
+    /// A route that must not become part of a wider one does.
     UnmergedIsMerged,
-    /// A node takes what is told under a lower number.
+    /// A node accepts a message with a lower number than it has seen.
     LowerIsTaken,
-    /// The next holder tells what it was left with, before its partners have said it again.
+    /// The next holder advertises the routes that it took over before its partners have confirmed them.
     ToldUnheard,
-    /// Whoever held the duty last answers partners for ever.
+    /// A previous holder of the lease answers partners without end.
     AnswersUnheld,
-    /// What was tightened in a document that was turned down is let go.
+    /// Restrictions that were tightened in a rejected document are dropped.
     RefusedForgotten,
-    /// A request that may have run at one site goes to another, whatever its class.
+    /// A request that may have run at one site is sent to another, whatever its class.
     RunAgain,
-    /// A further try goes by the table in force and not by the request's own.
+    /// A further try uses the table in force instead of that of its request.
     NewerTable,
-    /// A route's tenants and end are held to when the request began.
+    /// The tenants and the expiry of a route are checked only when the request begins.
     EndForgotten,
-    /// Further tries are not counted.
+    /// Further tries are not counted against the retry budget.
     NoBudget,
-    /// A route's capacity is not counted.
+    /// The capacity of a route is not enforced.
     NoCapacity,
-    /// A node is believed that it holds a duty, without the store's word.
+    /// A node's claim to hold a lease is accepted without verification by the store.
     HolderUnproved,
-    /// The next one that counts votes goes on from whatever list one node tells.
+    /// The next node that counts votes continues from whatever list a single node reports.
     ListUnproved,
-    /// The windows of keys are compared with the wall clock.
+    /// The windows of idempotency keys are compared with the wall clock.
     WindowOnWallTime,
-    /// After a failed sync, a second one of the same data counts as proof.
+    /// A second sync of the same data after a failed one counts as proof that the data is stored.
     SecondSyncBelieved,
-    /// A listener ends at the first connection that cannot be accepted.
+    /// A listener stops at the first connection that cannot be accepted.
     AcceptEnds,
-    /// A run is taken for over once nobody waits for it and nothing is heard of it.
+    /// A run counts as over by timeout, once no caller waits for it and the processor reports nothing.
     PermitByTimer,
-    /// A call is taken for over once its connection is closed.
+    /// A call counts as over once its connection is closed.
     CallOverAtClose,
-    /// A run beyond its caller takes no memory.
+    /// A run that outlasts its caller is not accounted any memory.
     MemoryOfCallers,
-    /// New settings free what runs have taken.
+    /// New settings release the permits of current runs.
     ReloadFreesPermits,
-    /// What comes after the grace is run.
+    /// Requests that arrive after the grace period of a drain are run.
     RunsAfterGrace,
-    /// A repeat of a keyed run is run as well.
+    /// A repeat of a keyed run is run again.
     RepeatRuns,
 }
 
 thread_local! {
-    static NOW: Cell<Option<InjectedFault>> = const { Cell::new(None) };
+    static OF_THREAD: Cell<Option<InjectedFault>> = const { Cell::new(None) };
 }
 
-/// The error that the environment names, for processes that a test starts.
+/// The fault named by the environment variable `SILLFLOW_PLANTED`, for processes that a test starts.
 static OF_PROCESS: LazyLock<Option<InjectedFault>> = LazyLock::new(|| {
     let named = std::env::var("SILLFLOW_PLANTED").ok()?;
-    let of_processes = [
+    let supported = [
         InjectedFault::StaleForEver,
         InjectedFault::WithdrawalWaits,
         InjectedFault::LoopIsTold,
@@ -89,14 +89,14 @@
         InjectedFault::RunsAfterGrace,
         InjectedFault::RepeatRuns,
     ];
-    of_processes.into_iter().find(|planted| format!("{planted:?}") == named)
+    supported.into_iter().find(|fault| format!("{fault:?}") == named)
 });
 
-/// Plants an error in all that this thread does from now on, or none.
-pub fn inject(planted: Option<InjectedFault>) {
-    NOW.set(planted);
+/// Injects a fault into everything that this thread does from now on, or removes it with `None`.
+pub fn inject(fault: Option<InjectedFault>) {
+    OF_THREAD.set(fault);
 }
 
-pub(crate) fn is_active(planted: InjectedFault) -> bool {
-    cfg!(debug_assertions) && (NOW.get() == Some(planted) || *OF_PROCESS == Some(planted))
+pub(crate) fn is_active(fault: InjectedFault) -> bool {
+    cfg!(debug_assertions) && (OF_THREAD.get() == Some(fault) || *OF_PROCESS == Some(fault))
 }
--- a/tests/ajp.rs
+++ b/tests/ajp.rs
@@ -124,7 +124,7 @@
     assert_eq!(web.packet(), [9]);
     let mut bad = WebServer::connect(&node.ajp);
     bad.send(&bytes);
-    node.logged("1 connections closed for what came on them");
+    node.logged("1 connections closed for protocol errors");
     use std::io::Read;
     assert!(matches!(bad.stream.read(&mut [0]), Ok(0) | Err(_)));
     web.ask("plate-check", &[], b"x");
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -363,7 +363,7 @@
     let began = Instant::now();
     let (mut tag, mut done) = (10, false);
     // The node goes by what it has read last for a moment longer.
-    while !done || !node.has_logged("this node's clock is taken to be") {
+    while !done || !node.has_logged("this node's clock is estimated to be") {
         assert!(began.elapsed() < PATIENCE, "the offset is not found");
         tag += 1;
         let req = ask(&mut front, tag, "history", 0, "");
@@ -414,7 +414,7 @@
     let fields = format!("req={},ts={ts},owner=almaty", try_id(1));
     front.send(&[b"ASK", b"1", b"plate-check", fields.as_bytes(), b"body"]);
     assert_eq!(front.answer().word, "error");
-    node.logged("1 requests failed unread in the last 5 s");
+    node.logged("1 requests failed for invalid fields in the last 5 s");
     assert_eq!(node.processor.count("begin"), 0);
     served(&mut node, &mut front, 2, "plate-check", "");
 }
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -171,7 +171,7 @@
     until("it runs", PATIENCE, || work.runs(2) == [1]);
     rig.relay.split(&[1], &[2, 3]);
     assert!(matches!(caller.join().expect("a caller"), End::Done(_)));
-    rig.logged(1, "served with their results not copied in time");
+    rig.logged(1, "served before their results were replicated");
 }
 
 #[rstest]
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -398,7 +398,7 @@
         front.ask(tag, "plate-check", &req, "", b"body");
         assert_eq!(front.answer().word, "error", "its name is in use while it may run");
     }
-    node.logged("a spell begins: runs that go on long after their callers were answered or left");
+    node.logged("an episode begins: runs continue long after their callers were answered or gave up");
     node.logged("1 runs go on though their callers are gone");
     node.processor.end(&req, "void");
     node.logged("no run outlasts its caller any more");
@@ -456,7 +456,7 @@
     let mut bad = FrontEnd::connect(&node.resp);
     use std::io::Write;
     bad.stream.write_all(&bytes).expect("a write");
-    node.logged("1 connections closed for what came on them");
+    node.logged("1 connections closed for protocol errors");
     assert!(bad.is_closed());
     assert_eq!(front.answer_to_status().word, "healthy");
 }
@@ -484,7 +484,7 @@
     let (mut node, mut front) = started();
     front.send(&[b"ASK", b"1", class.as_bytes(), fields.as_bytes(), body]);
     assert_eq!(front.answer().word, "error");
-    node.logged("1 requests failed unread in the last 5 s");
+    node.logged("1 requests failed for invalid fields in the last 5 s");
     let req = run(&mut node, &mut front, 2, "plate-check", "");
     node.processor.complete(&req, b"well");
     assert_eq!(front.answer().body, b"well");
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -236,7 +236,7 @@
     let mut play = Play::start(&tables);
     let (well, printed, _) = operate(&["knowledge", "--at", &play.told]);
     assert!(!well && printed.is_empty());
-    play.node.logged("1 questions about servers from addresses that may not ask");
+    play.node.logged("1 queries for server statistics from addresses without permission");
 }
 
 #[rstest]
--- a/tests/races_fronts.rs
+++ b/tests/races_fronts.rs
@@ -61,7 +61,7 @@
     let (mut node, mut front, req) = running_with(patient());
     front.stream.write_all(malformed).expect("a write");
     // The run ends once the node has taken the message in.
-    node.logged("1 connections closed for what came on them");
+    node.logged("1 connections closed for protocol errors");
     node.processor.complete(&req, b"result");
     let answer = front.answer();
     assert_eq!((answer.tag.as_str(), answer.word.as_str(), &answer.body[..]), ("1", "done", &b"result"[..]));
@@ -74,7 +74,7 @@
     let next = request(2, "plate-check", &try_id(2), "");
     front.stream.write_all(&next[..next.len() / 2]).expect("a write");
     front.stream.shutdown(Shutdown::Write).expect("an end");
-    node.logged("1 connections closed as nothing whole came on them");
+    node.logged("1 connections closed, as no complete message arrived in time");
     node.processor.complete(&req, b"result");
     assert_eq!(front.answer().word, "done");
     assert!(front.is_closed());
@@ -102,7 +102,7 @@
     let mut malformed = b"GARBAGE\r\n".to_vec();
     malformed.resize(32 * 1024, b'x');
     front.stream.write_all(&malformed).expect("a write");
-    node.logged("1 connections closed for what came on them");
+    node.logged("1 connections closed for protocol errors");
     node.processor.complete(&req, b"result");
     let mut stream = front.stream.try_clone().expect("a handle");
     // Read only once the node has closed its half: a reset would have taken the answer away.
