--- a/src/bin/sillflow-adapter/codec.rs
+++ b/src/bin/sillflow-adapter/codec.rs
@@ -1,39 +1,39 @@
-//! The wire: frames in, frames out. Numbers are big-endian.
+//! Wire format of the simulator: decodes batches of records and encodes replies. Numbers are big-endian.
 
 use std::io::{self, Read};
 
 use sillflow::interface::{Action, Event, Outcome, Request, RequestId};
 
-/// One batch as it came in.
+/// One decoded batch.
 pub struct Batch {
-    /// The clock, in ms.
+    /// Clock time, in ms.
     pub now: f64,
-    /// Its number, to be given back.
+    /// Sequence number, returned in the reply.
     pub seq: u32,
     /// Its records.
     pub records: Vec<Record>,
 }
 
-/// One record of a batch, with the instance it is about.
+/// One record of a batch, with the instance it is for.
 pub enum Record {
     /// An instance starts.
     Attach { instance: u16, seed: u64, env: String },
     /// An instance has been stopped.
     PowerOff { instance: u16 },
-    /// Anything that the decision module hears of.
-    Happened { instance: u16, event: Wire },
+    /// An event for the decision module.
+    Happened { instance: u16, event: IncomingEvent },
 }
 
 /// An event, with gauges still in the order of the instance's settings.
-pub enum Wire {
-    /// Complete as it is.
+pub enum IncomingEvent {
+    /// An event without gauges.
     Plain(Event),
     /// A timer with its gauges.
     Timer(Vec<f32>),
 }
 
-/// Why a batch could not be read.
-pub type Bad = String;
+/// Error message: why a batch could not be read.
+pub type DecodeError = String;
 
 struct Cursor<'a> {
     bytes: &'a [u8],
@@ -41,55 +41,55 @@
 }
 
 impl<'a> Cursor<'a> {
-    fn take(&mut self, n: usize) -> Result<&'a [u8], Bad> {
+    fn take(&mut self, n: usize) -> Result<&'a [u8], DecodeError> {
         let (head, rest) =
             self.bytes.split_at_checked(n).ok_or_else(|| format!("{} is cut short", self.what))?;
         self.bytes = rest;
         Ok(head)
     }
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], Bad> {
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
         let mut out = [0; N];
         out.copy_from_slice(self.take(N)?);
         Ok(out)
     }
-    fn u8(&mut self) -> Result<u8, Bad> {
+    fn u8(&mut self) -> Result<u8, DecodeError> {
         Ok(self.array::<1>()?[0])
     }
-    fn u16(&mut self) -> Result<u16, Bad> {
+    fn u16(&mut self) -> Result<u16, DecodeError> {
         Ok(u16::from_be_bytes(self.array()?))
     }
-    fn u32(&mut self) -> Result<u32, Bad> {
+    fn u32(&mut self) -> Result<u32, DecodeError> {
         Ok(u32::from_be_bytes(self.array()?))
     }
-    fn u64(&mut self) -> Result<u64, Bad> {
+    fn u64(&mut self) -> Result<u64, DecodeError> {
         Ok(u64::from_be_bytes(self.array()?))
     }
-    fn f32(&mut self) -> Result<f32, Bad> {
+    fn f32(&mut self) -> Result<f32, DecodeError> {
         Ok(f32::from_be_bytes(self.array()?))
     }
-    fn f64(&mut self) -> Result<f64, Bad> {
+    fn f64(&mut self) -> Result<f64, DecodeError> {
         Ok(f64::from_be_bytes(self.array()?))
     }
-    fn id(&mut self) -> Result<RequestId, Bad> {
+    fn id(&mut self) -> Result<RequestId, DecodeError> {
         Ok(RequestId(self.u32()?))
     }
-    fn end(&self) -> Result<(), Bad> {
+    fn end(&self) -> Result<(), DecodeError> {
         if self.bytes.is_empty() { Ok(()) } else { Err(format!("{} has bytes left over", self.what)) }
     }
 }
 
-/// The longest body that is read, in bytes; far above any batch that can occur.
+/// Longest body that is read, in bytes; far above any real batch.
 const BODY_LIMIT: u32 = 1 << 30;
 
-/// Reads one batch; `None` where the input ends at the border of a frame.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, Bad> {
+/// Reads one batch; returns `None` if the input ends between two frames.
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, DecodeError> {
     let mut header = [0u8; 20];
-    let mut got = 0;
-    while got < header.len() {
-        match input.read(&mut header[got..]) {
-            Ok(0) if got == 0 => return Ok(None),
+    let mut read = 0;
+    while read < header.len() {
+        match input.read(&mut header[read..]) {
+            Ok(0) if read == 0 => return Ok(None),
             Ok(0) => return Err("the input ends inside a header".into()),
-            Ok(n) => got += n,
+            Ok(n) => read += n,
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
             Err(e) => return Err(format!("the input cannot be read: {e}")),
         }
@@ -114,18 +114,19 @@
     Ok(Some(Batch { now, seq, records: parse_body(&body, count)? }))
 }
 
-fn parse_body(body: &[u8], count: u32) -> Result<Vec<Record>, Bad> {
+fn parse_body(body: &[u8], count: u32) -> Result<Vec<Record>, DecodeError> {
     let mut rest = Cursor { bytes: body, what: "a batch" };
     let mut records = Vec::with_capacity(count as usize);
-    let mut about = None;
+    let mut current_instance = None;
     for _ in 0..count {
         let code = rest.u8()?;
         let length = rest.u32()? as usize;
         let mut fields = Cursor { bytes: rest.take(length)?, what: record_name(code)? };
         if code == 2 {
-            about = Some(fields.u16()?);
+            current_instance = Some(fields.u16()?);
         } else {
-            let instance = about.ok_or_else(|| format!("{} comes before any ABOUT", fields.what))?;
+            let instance =
+                current_instance.ok_or_else(|| format!("{} comes before any ABOUT", fields.what))?;
             records.push(parse_record(code, instance, &mut fields)?);
         }
         fields.end()?;
@@ -134,7 +135,7 @@
     Ok(records)
 }
 
-fn record_name(code: u8) -> Result<&'static str, Bad> {
+fn record_name(code: u8) -> Result<&'static str, DecodeError> {
     Ok(match code {
         1 => "HANGUP",
         2 => "ABOUT",
@@ -150,7 +151,7 @@
     })
 }
 
-fn parse_record(code: u8, instance: u16, fields: &mut Cursor<'_>) -> Result<Record, Bad> {
+fn parse_record(code: u8, instance: u16, fields: &mut Cursor<'_>) -> Result<Record, DecodeError> {
     let event = match code {
         4 => return Ok(Record::PowerOff { instance }),
         5 => {
@@ -162,7 +163,7 @@
             fields.u64()?;
             let n = fields.u8()?;
             let gauges = (0..n).map(|_| fields.f32()).collect::<Result<_, _>>()?;
-            return Ok(Record::Happened { instance, event: Wire::Timer(gauges) });
+            return Ok(Record::Happened { instance, event: IncomingEvent::Timer(gauges) });
         }
         1 => Event::Gone(fields.id()?),
         3 => {
@@ -177,10 +178,10 @@
         }
         _ => Event::Drain { stop_at: fields.f64()? },
     };
-    Ok(Record::Happened { instance, event: Wire::Plain(event) })
+    Ok(Record::Happened { instance, event: IncomingEvent::Plain(event) })
 }
 
-fn request(fields: &mut Cursor<'_>) -> Result<Request, Bad> {
+fn request(fields: &mut Cursor<'_>) -> Result<Request, DecodeError> {
     let id = fields.id()?;
     let class = usize::from(fields.u8()?);
     let tenant = usize::from(fields.u16()?);
@@ -198,7 +199,7 @@
     Ok(Request { id, class, tenant, key, due, hint_ms, held_kb, waited_ms, further, earlier })
 }
 
-fn outcome(code: u16) -> Result<Outcome, Bad> {
+fn outcome(code: u16) -> Result<Outcome, DecodeError> {
     Ok(match code {
         0 => Outcome::Error,
         1 => Outcome::Ok,
@@ -262,11 +263,11 @@
         self.count += 1;
     }
 
-    /// The whole frame.
+    /// The complete frame.
     pub fn frame(&self, seq: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(12 + self.body.len());
-        for word in [self.body.len() as u32, self.count, seq] {
-            out.extend_from_slice(&word.to_be_bytes());
+        for number in [self.body.len() as u32, self.count, seq] {
+            out.extend_from_slice(&number.to_be_bytes());
         }
         out.extend_from_slice(&self.body);
         out
--- a/src/bin/sillflow-adapter/main.rs
+++ b/src/bin/sillflow-adapter/main.rs
@@ -1,4 +1,5 @@
-//! The adapter: speaks the simulator's wire on standard input and output for many independent controllers.
+//! Simulator adapter: runs many independent controllers behind the simulator's wire format on standard
+//! input and output.
 
 mod codec;
 mod host;
--- a/src/logic/admission.rs
+++ b/src/logic/admission.rs
@@ -1,79 +1,100 @@
-//! Which requests are taken in: their order in the hold, and what is turned away on arrival.
+//! Admission control: ranks each new request, queues it and refuses on arrival what would be answered too
+//! late.
 
 use super::*;
 
-/// An answer past the aim is worth planning for where it keeps more than this part of its worth.
-pub(super) const LATE_KEEPS: f64 = 0.5;
-/// A class that is refused more than the mean counts as worthier by this multiple of the difference.
-pub(super) const FAIR_SHARE: f64 = 2.0;
-/// Power to which the part of a tenant's requests within its share counts: all of them rank alike, so one
-/// that sends three times its share must rank near what its next request is worth, beyond the share, while
-/// one that is over it by the chance of a few seconds must not.
-pub(super) const SHARE_POWER: i32 = 3;
+/// A class is planned up to its due time rather than its aim if a late answer keeps more than this share of
+/// its worth.
+pub(super) const MIN_LATE_WORTH: f64 = 0.5;
+/// Multiple of the difference between a class's refusal rate and the mean rate that is added to the class's
+/// worth.
+pub(super) const REFUSAL_FAIRNESS: f64 = 2.0;
+/// Exponent applied to the share of a tenant's traffic that is within its quota. All requests of a tenant
+/// rank alike: a tenant that sends three times its quota must rank near the worth of a request beyond the
+/// quota, while one that exceeds it by chance for a few seconds must not.
+pub(super) const SHARE_EXPONENT: i32 = 3;
 
 impl Controller {
-    /// Enters a request that was read; false where it is settled already.
-    pub(super) fn read(&mut self, request: &Request, batch: &[Event], out: &mut Vec<Action>) -> bool {
+    /// Registers a request that was read; returns false if it was already answered or is answered by a
+    /// reuse.
+    pub(super) fn register(&mut self, request: &Request, batch: &[Event], out: &mut Vec<Action>) -> bool {
         let id = request.id.0;
-        if self.table.contains_key(&id) {
+        if self.requests.contains_key(&id) {
             return false;
         }
-        let Some(class) = self.set.classes.get(request.class) else {
+        let Some(class) = self.settings.classes.get(request.class) else {
             out.push(Action::Refuse { id: request.id, stay_away_ms: 0.0, last: false });
             return false;
         };
-        let waited = sane(request.waited_ms);
-        let arrival = self.now - waited;
-        self.unread.add(self.now, waited, &UNREAD_SPAN);
-        self.arrivals.count(self.now, &TRAFFIC_SPAN);
-        let told = request.due.filter(|due| due.is_finite()).unwrap_or(arrival + class.deadline_ms);
-        let left = if request.due.is_some() { (told - arrival) / class.deadline_ms } else { 1.0 };
-        let age = self.patience.age(left) * class.deadline_ms;
-        let further = request.further || age > 0.0;
-        self.further.add(self.now, f64::from(u8::from(further)), &ARRIVALS_SPAN);
-        let due = told.max(self.now).min(self.leaving.map_or(f64::INFINITY, |leaving| leaving.stop_at));
-        let (aim_at, effect) = (arrival + class.aim_ms - age, class.effect);
-        let optional = class.skip_worth > 0.0;
-        let whole = arrival + class.window_ms + DUE_MARGIN_MS + self.set.answer_slack_ms;
-        let keep_until = match effect {
-            Effect::Keyed => Some(whole),
-            Effect::Safe if self.set.fresh_ms > 0.0 => request.key.map(|_| aim_at + self.set.fresh_ms),
+        let waited_ms = finite_or_zero(request.waited_ms);
+        let arrival = self.now - waited_ms;
+        self.unread_wait.add(self.now, waited_ms, &UNREAD_SPAN);
+        self.arrival_count.count_event(self.now, &TRAFFIC_SPAN);
+        let nominal_due = request.due.filter(|due| due.is_finite()).unwrap_or(arrival + class.deadline_ms);
+        let share_left =
+            if request.due.is_some() { (nominal_due - arrival) / class.deadline_ms } else { 1.0 };
+        let age_ms = self.caller_timeouts.age(share_left) * class.deadline_ms;
+        let further = request.further || age_ms > 0.0;
+        self.further_rate.add(self.now, f64::from(u8::from(further)), &ARRIVALS_SPAN);
+        let due = nominal_due.max(self.now).min(self.draining.map_or(f64::INFINITY, |drain| drain.stop_at));
+        let (aim_at, effect) = (arrival + class.aim_ms - age_ms, class.effect);
+        let optional_call = class.skip_worth > 0.0;
+        let window_end = arrival + class.window_ms + DUE_MARGIN_MS + self.settings.answer_slack_ms;
+        let retain_until = match effect {
+            Effect::Keyed => Some(window_end),
+            Effect::Safe if self.settings.fresh_ms > 0.0 => {
+                request.key.map(|_| aim_at + self.settings.fresh_ms)
+            }
             _ => None,
         };
-        let hint = request.hint_ms.filter(|hint| hint.is_finite() && *hint > 0.0);
-        let (class, kb, must_call) = (request.class, sane(request.held_kb), class.calls && !optional);
-        let best = (0..self.times.len()).filter(|class| !self.set.classes[*class].retired);
-        let best = best.map(|class| self.density(class)).fold(0.0, f64::max);
-        // Guards the class that bears most of the refusals, as the worst served counts, unless they are tried
-        // again; harms the worthier ones.
-        let lost = 1.0 - (self.further.value / WALK_FURTHER).min(1.0);
-        let bears = self.refused_of[class].faded(self.now, &ARRIVALS_SPAN)
-            - self.refused.faded(self.now, &ARRIVALS_SPAN);
-        let worth =
-            ((self.density(class) / best.max(1e-9)).sqrt() + FAIR_SHARE * lost * bears.max(0.0)).min(1.0);
-        let grade = worth * self.within_share(request.tenant, further);
-        let order = micros(aim_at + (1.0 - grade) * self.set.classes[class].aim_ms);
-        let fresh =
-            Entry { class, arrival, due, aim_at, kb, booked_kb: kb, hint, keep_until, ..Entry::default() };
-        self.table.insert(id, Entry { grade, order, must_call, optional, ..fresh });
-        self.dues.insert((micros(due), id));
-        self.ledger.requests_kb += kb;
+        let hint_ms = request.hint_ms.filter(|hint_ms| hint_ms.is_finite() && *hint_ms > 0.0);
+        let (class, held_kb, must_call) =
+            (request.class, finite_or_zero(request.held_kb), class.calls && !optional_call);
+        let best = (0..self.run_times.len()).filter(|class| !self.settings.classes[*class].retired);
+        let best = best.map(|class| self.worth_density(class)).fold(0.0, f64::max);
+        // Raises the class that is refused most, because service is judged by the worst-served class, at
+        // the expense of classes of more worth. Does not apply while refused requests are retried
+        // elsewhere.
+        let fairness_weight = 1.0 - (self.further_rate.value / STOP_RETRIES_FURTHER_RATE).min(1.0);
+        let excess_refusals = self.class_refusal_rates[class].decayed(self.now, &ARRIVALS_SPAN)
+            - self.refusal_rate.decayed(self.now, &ARRIVALS_SPAN);
+        let worth = ((self.worth_density(class) / best.max(1e-9)).sqrt()
+            + REFUSAL_FAIRNESS * fairness_weight * excess_refusals.max(0.0))
+        .min(1.0);
+        let priority = worth * self.tenant_share_factor(request.tenant, further);
+        let order = micros(aim_at + (1.0 - priority) * self.settings.classes[class].aim_ms);
+        let base = Entry {
+            class,
+            arrival,
+            due,
+            aim_at,
+            held_kb,
+            booked_kb: held_kb,
+            hint_ms,
+            retain_until,
+            ..Entry::default()
+        };
+        self.requests.insert(id, Entry { priority, order, must_call, optional_call, ..base });
+        self.due_order.insert((micros(due), id));
+        self.memory.requests_kb += held_kb;
         let Some(RequestId(earlier)) = request.earlier else { return true };
-        let phase = self.table.get(&earlier).map(|entry| entry.phase);
-        let run_failed = self.ledger.keys.get(&earlier).is_some_and(|(_, failed)| *failed);
+        let phase = self.requests.get(&earlier).map(|entry| entry.phase);
+        let run_failed = self.memory.keys.get(&earlier).is_some_and(|(_, failed)| *failed);
         let comes_later = || batch.iter().any(|e| matches!(e, Event::Request(r) if r.id.0 == earlier));
         match (effect, phase) {
-            // Two tries in one batch name each other: the first is taken as new, the second sees the first.
-            (_, None) if comes_later() && !self.ledger.keys.contains_key(&earlier) => true,
-            // The newest try carries a keyed request: the caller of an older one has mostly given up.
+            // Two tries in one batch can each name the other as the earlier one: the first is taken as new,
+            // and the second finds the first.
+            (_, None) if comes_later() && !self.memory.keys.contains_key(&earlier) => true,
+            // The newest try takes over a keyed request: the caller of an older one has usually given up.
             (Effect::Keyed, Some(Phase::Held)) => {
                 self.refuse(earlier, out);
                 true
             }
             (Effect::Unsafe, _) => true,
-            // Waiting repeats cannot be shed; guards the memory against a pile of them at the cost of errors.
-            (Effect::Safe, _) if !self.ledger.fits(0.0, MEMORY_MARKS.1) => true,
-            _ if run_failed || !self.ledger.fits(0.0, MEMORY_MARKS.1) => {
+            // Repeats that wait for a result cannot be shed. Refusing to reuse bounds their memory at the
+            // cost of errors.
+            (Effect::Safe, _) if !self.memory.fits(0.0, MEMORY_THRESHOLDS.1) => true,
+            _ if run_failed || !self.memory.fits(0.0, MEMORY_THRESHOLDS.1) => {
                 self.fail(id, out);
                 false
             }
@@ -85,84 +106,94 @@
         }
     }
 
-    /// The part of its worth to expect: what a tenant sends beyond its share is worth little, and unmarked.
-    /// Only first tries count, or a refused tenant would look like a busy one. Guards against one customer
-    /// that crowds out the others; harms where callers spread a tenant unevenly.
-    pub(super) fn within_share(&mut self, tenant: usize, further: bool) -> f64 {
-        let Some(count) = self.tenant_counts.get_mut(tenant) else { return 1.0 };
-        let even = self.set.tenants[tenant].quota_per_s * TRAFFIC_SPAN.ms / 1000.0;
-        let even = even / f64::from(self.set.servers.max(1));
-        let others = count.faded(self.now, &TRAFFIC_SPAN);
-        let within = if even > 0.0 && others > even { even / others } else { 1.0 };
+    /// Factor on the worth of a tenant's requests: traffic beyond the quota is worth little, and which
+    /// requests are beyond it is not marked. Only first tries are counted, because retries would make a
+    /// refused tenant look busy. Protects other tenants from one that sends too much; a tenant suffers if
+    /// callers spread its requests unevenly over the servers.
+    pub(super) fn tenant_share_factor(&mut self, tenant: usize, further: bool) -> f64 {
+        let Some(count) = self.tenant_arrivals.get_mut(tenant) else { return 1.0 };
+        let quota = self.settings.tenants[tenant].quota_per_s * TRAFFIC_SPAN.ms / 1000.0;
+        let quota = quota / f64::from(self.settings.servers.max(1));
+        let recent = count.decayed(self.now, &TRAFFIC_SPAN);
+        let within_quota = if quota > 0.0 && recent > quota { quota / recent } else { 1.0 };
         if !further {
-            count.count(self.now, &TRAFFIC_SPAN);
+            count.count_event(self.now, &TRAFFIC_SPAN);
         }
-        (within + (1.0 - within) * self.set.over_share_worth).powi(SHARE_POWER)
+        (within_quota + (1.0 - within_quota) * self.settings.over_share_worth).powi(SHARE_EXPONENT)
     }
 
-    pub(super) fn density(&self, class: usize) -> f64 {
-        let worth = self.set.classes[class].worth;
-        if self.set.worth_by_work { worth } else { worth / self.times[class].slot.value.max(1.0) }
+    /// Worth of a class per millisecond of run time, or its plain worth if worth already counts per unit of
+    /// work.
+    pub(super) fn worth_density(&self, class: usize) -> f64 {
+        let worth = self.settings.classes[class].worth;
+        if self.settings.worth_by_work { worth } else { worth / self.run_times[class].slot_ms.value.max(1.0) }
     }
 
-    /// The companion's gate: while work is held, a request that would be late by its prediction is refused on
-    /// arrival. The bound is the time left, and the aim where a later answer keeps little of its worth; the
-    /// less a unit of its work is worth, the earlier it is turned away.
+    /// Early admission: while work is held, a request that is predicted to be late is refused on arrival.
+    /// The limit is the time left to its due time, or to its aim if a later answer keeps little worth. The
+    /// less a unit of its work is worth, the earlier it is refused.
     pub(super) fn admit(&mut self, id: u32, out: &mut Vec<Action>) {
-        let Some(entry) = self.table.get(&id) else { return };
-        let class = &self.set.classes[entry.class];
+        let Some(entry) = self.requests.get(&id) else { return };
+        let class = &self.settings.classes[entry.class];
         let too_late = !fault_injection::is_active(InjectedFault::RunsAfterGrace)
-            && self.leaving.is_some_and(|leaving| entry.arrival > leaving.last_arrival);
-        let key_kb = entry.keep_until.map_or(0.0, |_| self.set.key_kb);
-        let call_wait = if entry.must_call && !self.calls.is_empty() { self.call_wait_ms() } else { 0.0 };
-        let mut refused = too_late || self.exhausted || !self.ledger.fits(key_kb, MEMORY_MARKS.0);
-        if !self.hold.is_empty() || self.reading_lags(UNREAD_PART) || call_wait > 0.0 {
-            let bound = if class.late_worth > LATE_KEEPS { entry.due } else { entry.aim_at.min(entry.due) };
-            let spare = bound - self.now - self.finish_ms(entry);
-            refused |= self.wait_ms(entry.order, entry.grade).max(call_wait) + self.unread_ms()
-                > spare * entry.grade;
+            && self.draining.is_some_and(|leaving| entry.arrival > leaving.last_arrival);
+        let key_kb = entry.retain_until.map_or(0.0, |_| self.settings.key_kb);
+        let call_wait_ms =
+            if entry.must_call && !self.waiting_calls.is_empty() { self.call_wait_ms() } else { 0.0 };
+        let mut refused = too_late || self.exhausted || !self.memory.fits(key_kb, MEMORY_THRESHOLDS.0);
+        if !self.held.is_empty() || self.reading_lags(MAX_UNREAD_SHARE) || call_wait_ms > 0.0 {
+            let limit_at =
+                if class.late_worth > MIN_LATE_WORTH { entry.due } else { entry.aim_at.min(entry.due) };
+            let spare_ms = limit_at - self.now - self.expected_finish_ms(entry);
+            refused |= self.queue_wait_ms(entry.order, entry.priority).max(call_wait_ms)
+                + self.unread_wait_ms()
+                > spare_ms * entry.priority;
         }
-        let share = f64::from(u8::from(refused));
-        self.refused.add(self.now, share, &ARRIVALS_SPAN);
-        self.refused_of[entry.class].add(self.now, share, &ARRIVALS_SPAN);
+        let sample = f64::from(u8::from(refused));
+        self.refusal_rate.add(self.now, sample, &ARRIVALS_SPAN);
+        self.class_refusal_rates[entry.class].add(self.now, sample, &ARRIVALS_SPAN);
         if refused {
             return self.refuse(id, out);
         }
-        if let Some(until) = entry.keep_until {
-            self.ledger.keep(id, until);
+        if let Some(until) = entry.retain_until {
+            self.memory.retain_key(id, until);
             out.push(Action::Keep { id: RequestId(id), for_ms: (until - self.now).max(1.0) });
         }
-        self.hold.insert((entry.order, id));
+        self.held.insert((entry.order, id));
     }
 
-    /// Work held unread is work held. Guards against a flood read after its callers have left: retry storms,
-    /// surges, slow or cold cores. Harms where a pause alone made requests wait.
-    pub(super) fn reading_lags(&self, part: f64) -> bool {
-        let classes = self.set.classes.iter().filter(|class| !class.retired);
-        let aim = classes.map(|class| class.aim_ms).fold(f64::INFINITY, f64::min);
-        self.unread_ms() > part * aim
+    /// Whether requests wait too long before they are read; such requests count as held work. Protects
+    /// against reading a flood after its callers have left (retry storms, surges, slow or cold cores);
+    /// refuses too much if only a pause made requests wait.
+    pub(super) fn reading_lags(&self, max_share: f64) -> bool {
+        let classes = self.settings.classes.iter().filter(|class| !class.retired);
+        let min_aim_ms = classes.map(|class| class.aim_ms).fold(f64::INFINITY, f64::min);
+        self.unread_wait_ms() > max_share * min_aim_ms
     }
 
-    /// How long a request that must call waits for its call, behind all others that must.
+    /// Expected wait for a call of a request that cannot do without it, behind all other such requests.
     pub(super) fn call_wait_ms(&self) -> f64 {
         let must = |entry: &&Entry| entry.must_call && entry.phase != Phase::Reusing && !entry.answered;
-        self.budget.wait_ms(self.table.values().filter(must).count() as f64)
+        self.call_budget.expected_wait_ms(self.requests.values().filter(must).count() as f64)
     }
 
-    pub(super) fn unread_ms(&self) -> f64 {
-        self.unread.faded(self.now, &UNREAD_SPAN)
+    /// Recent mean time between a request's arrival at the machine and its being read.
+    pub(super) fn unread_wait_ms(&self) -> f64 {
+        self.unread_wait.decayed(self.now, &UNREAD_SPAN)
     }
 
-    /// Time until the work held has begun that is ahead in the order, or worthier and would be pushed back.
-    pub(super) fn wait_ms(&self, order: i64, grade: f64) -> f64 {
-        let held = self.hold.iter().filter_map(|(_, id)| self.table.get(id));
-        let before = held.filter(|entry| entry.order < order || entry.grade > grade);
-        let work_ms: f64 = before.map(|entry| self.times[entry.class].expect(entry.hint)).sum();
-        work_ms * self.pace / self.limit.limit.floor()
+    /// Time until the held work has started that is ahead in the order, or that has a higher priority and
+    /// would be pushed back.
+    pub(super) fn queue_wait_ms(&self, order: i64, priority: f64) -> f64 {
+        let held = self.held.iter().filter_map(|(_, id)| self.requests.get(id));
+        let ahead = held.filter(|entry| entry.order < order || entry.priority > priority);
+        let work_ms: f64 = ahead.map(|entry| self.run_times[entry.class].expected_ms(entry.hint_ms)).sum();
+        work_ms * self.slowdown / self.run_limit.limit.floor()
     }
 
-    pub(super) fn finish_ms(&self, entry: &Entry) -> f64 {
-        let times = &self.times[entry.class];
-        times.expect(entry.hint) * self.pace + times.parked.value
+    /// Expected time from the start of a request's run to its answer, including the time at calls.
+    pub(super) fn expected_finish_ms(&self, entry: &Entry) -> f64 {
+        let run_times = &self.run_times[entry.class];
+        run_times.expected_ms(entry.hint_ms) * self.slowdown + run_times.parked_ms.value
     }
 }
--- a/src/logic/answers.rs
+++ b/src/logic/answers.rs
@@ -1,107 +1,119 @@
-//! Ends of requests: refusals, failures, callers that leave, and runs that are over.
+//! Ends of requests: refusals, failures, callers that disconnect, and finished runs.
 
 use super::*;
 
-/// How much longer than expected runs of all classes take holds over 6 runs, and five seconds.
-pub(super) const SLOW_SPAN: Span = Span { samples: 12.0, ms: 5000.0 };
-/// Callers are asked to stay away for this multiple of the time that requests wait unread, scaled by this
-/// multiple of the share refused, and spread over this last part of it.
-pub(super) const ADVICE_UNREAD: f64 = 4.0;
-pub(super) const ADVICE_SHARE: f64 = 2.0;
-pub(super) const ADVICE_SPREAD: f64 = 0.5;
-/// The share of refusals from which refused requests may not walk on, where further tries are not marked and
-/// may go unseen.
-pub(super) const WALK_REFUSED: f64 = 0.5;
+/// Averaging of the ratio of actual to expected run time over all classes: a dozen runs, or five seconds.
+pub(super) const RUN_TIME_RATIO_SPAN: Span = Span { samples: 12.0, ms: 5000.0 };
+/// Factors of the retry-after advice: on the time that requests wait unread, on the share of requests
+/// refused, and the part of the result that is drawn at random.
+pub(super) const RETRY_AFTER_UNREAD_FACTOR: f64 = 4.0;
+pub(super) const RETRY_AFTER_REFUSAL_FACTOR: f64 = 2.0;
+pub(super) const RETRY_AFTER_JITTER: f64 = 0.5;
+/// From this refusal rate on, refused callers are asked not to try other servers, if retries are not marked
+/// and may go unnoticed.
+pub(super) const STOP_RETRIES_REFUSAL_RATE: f64 = 0.5;
 
 impl Controller {
+    /// Removes a request's key, if it has one, here and at the embedding server.
     pub(super) fn forget(&mut self, id: u32, out: &mut Vec<Action>) {
-        if self.ledger.forget(id) {
+        if self.memory.forget_key(id) {
             out.push(Action::Forget(RequestId(id)));
         }
     }
 
-    /// Turns away what never ran. The advice follows the lag and the share refused, spread so that callers do
-    /// not return together. While further tries abound nobody is to walk on, as each reading costs work.
+    /// Refuses a request that never ran. The retry-after advice follows the queueing time and the refusal
+    /// rate, with a random part so that callers do not return together. While retries abound callers are
+    /// asked not to try elsewhere, as reading each try costs work.
     pub(super) fn refuse(&mut self, id: u32, out: &mut Vec<Action>) {
-        let lag =
-            (self.wait_ms(i64::MAX, 0.0) + ADVICE_UNREAD * self.unread_ms()).min(self.set.max_retry_after_ms);
-        let refused = self.refused.faded(self.now, &ARRIVALS_SPAN);
-        let stay_away_ms = lag * (ADVICE_SHARE * refused).min(1.0) * (1.0 - ADVICE_SPREAD * self.rng.f64());
-        let crowded = refused > WALK_REFUSED && !self.set.marks_further;
-        let last = (crowded || self.further.value > WALK_FURTHER) && self.leaving.is_none();
+        let wait_ms = (self.queue_wait_ms(i64::MAX, 0.0) + RETRY_AFTER_UNREAD_FACTOR * self.unread_wait_ms())
+            .min(self.settings.max_retry_after_ms);
+        let refusal_rate = self.refusal_rate.decayed(self.now, &ARRIVALS_SPAN);
+        let stay_away_ms = wait_ms
+            * (RETRY_AFTER_REFUSAL_FACTOR * refusal_rate).min(1.0)
+            * (1.0 - RETRY_AFTER_JITTER * self.rng.f64());
+        let mostly_refused = refusal_rate > STOP_RETRIES_REFUSAL_RATE && !self.settings.marks_further;
+        let last = (mostly_refused || self.further_rate.value > STOP_RETRIES_FURTHER_RATE)
+            && self.draining.is_none();
         out.push(Action::Refuse { id: RequestId(id), stay_away_ms, last });
         self.forget(id, out);
-        self.drop_entry(id);
+        self.remove_entry(id);
     }
 
-    /// Answers with an error. What runs keeps its core and memory until it is reported done.
+    /// Answers with an error. A request that runs keeps its core and memory until its run is reported done.
     pub(super) fn fail(&mut self, id: u32, out: &mut Vec<Action>) {
-        let Some(entry) = self.table.get_mut(&id) else { return };
+        let Some(entry) = self.requests.get_mut(&id) else { return };
         out.push(Action::Fail(RequestId(id)));
-        entry.leave(self.now);
-        if fault_injection::is_active(InjectedFault::MemoryOfCallers) && entry.ran() {
-            self.ledger.requests_kb -= std::mem::take(&mut entry.booked_kb);
+        entry.mark_answered(self.now);
+        if fault_injection::is_active(InjectedFault::MemoryOfCallers) && entry.has_started() {
+            self.memory.requests_kb -= std::mem::take(&mut entry.booked_kb);
         }
-        self.dues.remove(&(micros(entry.due), id));
-        let ratio = (self.now - entry.arrival) / self.set.classes[entry.class].aim_ms;
-        if !entry.ran() {
-            self.drop_entry(id);
+        self.due_order.remove(&(micros(entry.due), id));
+        let ratio = (self.now - entry.arrival) / self.settings.classes[entry.class].aim_ms;
+        if !entry.has_started() {
+            self.remove_entry(id);
         } else {
-            self.calls.remove(&entry.call_order(id));
+            self.waiting_calls.remove(&entry.call_order(id));
             self.dimmer.window.push_back((self.now, ratio));
-            self.give_up_call(id);
+            self.abandon_call(id);
         }
     }
 
-    pub(super) fn expire(&mut self, out: &mut Vec<Action>) {
-        let edge = micros(self.now + DUE_MARGIN_MS);
-        while let Some((_, id)) = self.dues.first().copied().filter(|(due, _)| *due <= edge) {
-            match self.table.get(&id).map(|entry| entry.phase) {
+    /// Answers every request that is about to become due.
+    pub(super) fn answer_due(&mut self, out: &mut Vec<Action>) {
+        let soon = micros(self.now + DUE_MARGIN_MS);
+        while let Some((_, id)) = self.due_order.first().copied().filter(|(due, _)| *due <= soon) {
+            match self.requests.get(&id).map(|entry| entry.phase) {
                 Some(Phase::Held) => self.refuse(id, out),
                 _ => self.fail(id, out),
             }
         }
     }
 
-    pub(super) fn gone(&mut self, id: u32, out: &mut Vec<Action>) {
-        let Some(entry) = self.table.get_mut(&id) else { return };
-        entry.leave(self.now);
-        self.dues.remove(&(micros(entry.due), id));
-        if entry.ran() {
-            self.calls.remove(&entry.call_order(id));
-            self.give_up_call(id);
+    /// Handles a caller that has disconnected: nothing is answered, and a run goes on to its end.
+    pub(super) fn caller_left(&mut self, id: u32, out: &mut Vec<Action>) {
+        let Some(entry) = self.requests.get_mut(&id) else { return };
+        entry.mark_answered(self.now);
+        self.due_order.remove(&(micros(entry.due), id));
+        if entry.has_started() {
+            self.waiting_calls.remove(&entry.call_order(id));
+            self.abandon_call(id);
         } else {
             self.forget(id, out);
-            self.drop_entry(id);
+            self.remove_entry(id);
         }
     }
 
-    pub(super) fn done(&mut self, id: u32, outcome: Outcome, out: &mut Vec<Action>) {
-        let Some(entry) = self.table.get(&id).filter(|entry| entry.phase != Phase::Held) else { return };
+    /// Handles the end of a run or a reuse, and learns the run time of its class.
+    pub(super) fn run_ended(&mut self, id: u32, outcome: Outcome, out: &mut Vec<Action>) {
+        let Some(entry) = self.requests.get(&id).filter(|entry| entry.phase != Phase::Held) else { return };
         if entry.phase == Phase::Calling {
-            self.budget.ended(self.now, true);
+            self.call_budget.call_ended(self.now, true);
         }
-        let class = &self.set.classes[entry.class];
+        let class = &self.settings.classes[entry.class];
         if entry.phase != Phase::Reusing {
-            if let Some(key) = self.ledger.keys.get_mut(&id) {
+            if let Some(key) = self.memory.keys.get_mut(&id) {
                 key.1 = outcome != Outcome::Ok;
             }
             if outcome == Outcome::Ok {
-                let slot = (self.now - entry.started - entry.parked_ms).max(1.0);
-                let times = &mut self.times[entry.class];
-                self.slow.add(self.now, slot / times.expect(entry.hint).max(1.0), &SLOW_SPAN);
-                times.slot.add(self.now, slot, &TIMES_SPAN);
-                times.parked.add(self.now, entry.parked_ms, &TIMES_SPAN);
-                if let Some(hint) = entry.hint {
-                    times.hint.add(self.now, hint, &TIMES_SPAN);
+                let slot_ms = (self.now - entry.started_at - entry.parked_ms).max(1.0);
+                let run_times = &mut self.run_times[entry.class];
+                self.run_time_ratio.add(
+                    self.now,
+                    slot_ms / run_times.expected_ms(entry.hint_ms).max(1.0),
+                    &RUN_TIME_RATIO_SPAN,
+                );
+                run_times.slot_ms.add(self.now, slot_ms, &TIMES_SPAN);
+                run_times.parked_ms.add(self.now, entry.parked_ms, &TIMES_SPAN);
+                if let Some(hint_ms) = entry.hint_ms {
+                    run_times.hint_ms.add(self.now, hint_ms, &TIMES_SPAN);
                 }
             }
         }
-        if outcome == Outcome::Moot && entry.ran() {
+        if outcome == Outcome::Moot && entry.has_started() {
             self.forget(id, out);
         } else if outcome == Outcome::Ok && !entry.answered {
             self.dimmer.window.push_back((self.now, (self.now - entry.arrival) / class.aim_ms));
         }
-        self.drop_entry(id);
+        self.remove_entry(id);
     }
 }
--- a/src/logic/call_budget.rs
+++ b/src/logic/call_budget.rs
@@ -1,4 +1,4 @@
-//! How many calls may be in the hands of what lies below.
+//! Limits the calls that may be in flight to the dependency at once.
 
 use std::collections::VecDeque;
 
@@ -7,156 +7,170 @@
 use crate::fault_injection::{self, InjectedFault};
 use crate::interface::Below;
 
-/// A mean call time above this multiple of its learned floor means that what is below is crowded.
-pub(super) const CALL_CROWDED: f64 = 1.6;
-/// The call limit falls to this part at a crowded call, else it rises to this multiple.
+/// A mean call time above this multiple of the lowest mean seen indicates a congested dependency.
+pub(super) const CALL_CONGESTION_RATIO: f64 = 1.6;
+/// Factors on the call limit after a call while the dependency is congested, and otherwise.
 pub(super) const CALL_LIMIT_STEPS: (f64, f64) = (0.97, 1.03);
-/// Least and most of the told share that the call limit takes.
-pub(super) const CALL_SHARE: (f64, f64) = (0.3, 0.4);
-/// Part of a span at the share that may be saved up for calls that come together.
-pub(super) const CALL_BURST: f64 = 0.2;
-/// The limit, what is saved up, and one long call stay under this part of the share in any span.
-pub(super) const CALL_TOTAL: f64 = 0.9;
-/// A call under a share below one begins where it may take this many mean call times, and so many ms.
-pub(super) const CALL_LEAST: (f64, f64) = (3.0, 50.0);
-/// The mean call time holds over 8 calls, and ten seconds; the least mean seen is its floor.
-pub(super) const CALL_SPAN: Span = Span { samples: 8.0, ms: 10_000.0 };
-/// Upward drift of that floor at a call, as a part of the mean: it forgets a better past within minutes.
+/// Lower and upper bound of the call limit, as shares of the configured share.
+pub(super) const CALL_LIMIT_BOUNDS: (f64, f64) = (0.3, 0.4);
+/// Unused call time that may be saved up for a burst of calls, as a part of the share over one span.
+pub(super) const MAX_CALL_BURST: f64 = 0.2;
+/// Limit, saved call time and one long call together stay under this part of the share in any span.
+pub(super) const MAX_CALL_TIME_SHARE: f64 = 0.9;
+/// With a share below one, a call starts only if it may take this many mean call times and this many ms.
+pub(super) const MIN_CALL_TIME: (f64, f64) = (3.0, 50.0);
+/// Averaging of the call time: 8 calls, or ten seconds. The lowest mean seen is its floor.
+pub(super) const CALL_TIME_SPAN: Span = Span { samples: 8.0, ms: 10_000.0 };
+/// Upward drift of that floor at each call, as a part of the mean: an earlier, faster period is forgotten
+/// within minutes.
 pub(super) const CALL_FLOOR_DRIFT: f64 = 0.005;
 
-/// Calls in the hands of what lies below, and how many may be, in the mean: a leaky bucket of call time.
+/// Counts the calls in flight to the dependency and limits their mean number: a leaky bucket of call time.
 #[derive(Default)]
 pub(super) struct CallBudget {
-    pub(super) below: Below,
-    pub(super) in_hand: f64,
+    pub(super) dependency: Below,
+    pub(super) in_flight: f64,
+    /// When each abandoned call is over at the dependency at the latest.
     pub(super) lingering: VecDeque<f64>,
-    /// Calls of another process, which count like those in hand.
+    /// Calls of another process, which count like calls in flight.
     pub(super) reserved: f64,
+    /// Unused call time under the limit, in call-milliseconds; negative after an overrun.
     pub(super) credit: f64,
-    pub(super) updated: f64,
+    pub(super) updated_at: f64,
+    /// Learned limit on the mean number of calls in flight.
     pub(super) limit: f64,
-    pub(super) floor_ms: f64,
-    pub(super) recent: Average,
-    pub(super) time: CallTime,
-    /// How long a call that begins now may be in hand, lingering included, under a share below one, in ms.
-    pub(super) room_ms: f64,
+    /// Lowest mean call time seen, with an upward drift.
+    pub(super) min_call_ms: f64,
+    /// Mean call time, in ms.
+    pub(super) mean_call_ms: Average,
+    pub(super) call_history: CallTime,
+    /// With a share below one: how long a call that starts now may be in flight, lingering included, in ms.
+    pub(super) available_ms: f64,
 }
 
 impl CallBudget {
+    /// This server's share of the calls that the dependency sustains; infinite if there is no shared
+    /// dependency.
     pub(super) fn share(&self) -> f64 {
-        match self.below {
+        match self.dependency {
             Below::Shared { share, .. } => share,
             _ => f64::INFINITY,
         }
     }
 
-    /// The highest limit: a share of one or more is kept by counting calls, one below only in the mean.
-    pub(super) fn most(&self) -> f64 {
-        self.share().floor().max(CALL_SHARE.1 * self.share())
+    /// The highest limit: a share of one or more is kept by counting calls, a share below one only in the
+    /// mean.
+    pub(super) fn max_limit(&self) -> f64 {
+        self.share().floor().max(CALL_LIMIT_BOUNDS.1 * self.share())
     }
 
-    /// Call time over the mark of a crowded dependency: above 1, optional calls are in the way of others.
-    pub(super) fn crowding(&self) -> f64 {
-        self.recent.value / (CALL_CROWDED * self.floor_ms).max(1.0)
+    /// Mean call time relative to the congestion threshold; above 1, optional calls delay others.
+    pub(super) fn congestion(&self) -> f64 {
+        self.mean_call_ms.value / (CALL_CONGESTION_RATIO * self.min_call_ms).max(1.0)
     }
 
-    /// Books the call time that has gone by against the limit. Guards a share under one, which no count of
-    /// calls can keep: a long call is paid back by a long wait. Harms calls that come in bursts.
+    /// Charges the elapsed call time against the limit. This keeps a share below one, which no count of
+    /// calls can keep: a long call is followed by a long wait. It delays calls that come in bursts.
     pub(super) fn advance(&mut self, now: f64) {
         while let Some(until) = self.lingering.front().copied().filter(|until| *until <= now) {
-            self.book(until);
+            self.charge(until);
             self.lingering.pop_front();
         }
-        self.book(now);
-        if let Below::Shared { share, span_ms, .. } = self.below
+        self.charge(now);
+        if let Below::Shared { share, span_ms, .. } = self.dependency
             && share < 1.0
         {
-            self.room_ms = self.time.room_ms(now, CALL_TOTAL * share * span_ms, span_ms);
+            self.available_ms =
+                self.call_history.available_ms(now, MAX_CALL_TIME_SHARE * share * span_ms, span_ms);
         }
     }
 
-    /// Books what is in hand up to then.
-    fn book(&mut self, now: f64) {
-        let from = self.updated;
-        self.updated = now.max(from);
-        if let Below::Shared { share, span_ms, .. } = self.below {
+    /// Charges the calls in flight up to that time.
+    fn charge(&mut self, now: f64) {
+        let from = self.updated_at;
+        self.updated_at = now.max(from);
+        if let Below::Shared { share, span_ms, .. } = self.dependency {
             let load = self.load();
-            self.credit += (self.limit - load) * (self.updated - from);
-            self.credit = self.credit.min(CALL_BURST * share * span_ms);
-            self.time.book(from, self.updated, load, span_ms);
+            self.credit += (self.limit - load) * (self.updated_at - from);
+            self.credit = self.credit.min(MAX_CALL_BURST * share * span_ms);
+            self.call_history.record(from, self.updated_at, load, span_ms);
         }
     }
 
-    /// Calls that are, or may be, in the hands of what lies below.
+    /// Calls that are, or may still be, in flight at the dependency.
     pub(super) fn load(&self) -> f64 {
-        self.in_hand + self.lingering.len() as f64 + self.reserved
+        self.in_flight + self.lingering.len() as f64 + self.reserved
     }
 
-    /// Whether a further call could begin beside those in hand, with no more than is saved up.
+    /// Whether one more call fits beside those in flight, within the saved call time.
     pub(super) fn can_repeat_call(&self) -> bool {
         self.credit >= 0.0 && self.load() + 1.0 <= self.limit.floor()
     }
 
-    pub(super) fn open(&self) -> bool {
-        self.credit >= 0.0 && self.load() + 1.0 <= self.limit.floor().max(1.0) && self.has_time()
+    /// Whether a call may start now.
+    pub(super) fn allows_call(&self) -> bool {
+        self.credit >= 0.0 && self.load() + 1.0 <= self.limit.floor().max(1.0) && self.has_call_time()
     }
 
-    /// Whether a call would have time enough in this span. With nothing spent in it there is no more to wait
-    /// for, even where a call that is given up takes more than the share.
-    fn has_time(&self) -> bool {
-        let Below::Shared { share, span_ms, linger_ms } = self.below else { return true };
-        let whole_ms = CALL_TOTAL * share * span_ms;
-        let half_ms = (whole_ms - linger_ms) / 2.0;
-        let least_ms = (CALL_LEAST.0 * self.recent.value).min(half_ms).max(CALL_LEAST.1);
-        share >= 1.0 || self.room_ms >= whole_ms || self.room_ms - linger_ms >= least_ms
+    /// Whether a call would have enough time in this span. If nothing was spent in the span, waiting gains
+    /// nothing, even if an abandoned call takes more than the share.
+    fn has_call_time(&self) -> bool {
+        let Below::Shared { share, span_ms, linger_ms } = self.dependency else { return true };
+        let budget_ms = MAX_CALL_TIME_SHARE * share * span_ms;
+        let half_ms = (budget_ms - linger_ms) / 2.0;
+        let needed_ms = (MIN_CALL_TIME.0 * self.mean_call_ms.value).min(half_ms).max(MIN_CALL_TIME.1);
+        share >= 1.0 || self.available_ms >= budget_ms || self.available_ms - linger_ms >= needed_ms
     }
 
-    /// The longest that one call may take. Guards a share under one against calls that outlast its span, as
-    /// when every server has one out and what is below stalls; harms the request, which fails then.
-    pub(super) fn longest_ms(&self) -> f64 {
-        let Below::Shared { share, span_ms, linger_ms } = self.below else { return f64::INFINITY };
+    /// The longest that one call may take. With a share below one, calls must not outlast their span, as
+    /// they would if every server had a call in flight and the dependency stalled; the request fails
+    /// instead.
+    pub(super) fn max_call_ms(&self) -> f64 {
+        let Below::Shared { share, span_ms, linger_ms } = self.dependency else { return f64::INFINITY };
         if share >= 1.0 {
             return f64::INFINITY;
         }
-        let spare = (CALL_TOTAL - CALL_BURST) * share - self.limit;
-        let in_span = (spare * span_ms - linger_ms).max(linger_ms);
-        in_span.min((self.room_ms - linger_ms).max(CALL_LEAST.1))
+        let spare_share = (MAX_CALL_TIME_SHARE - MAX_CALL_BURST) * share - self.limit;
+        let max_in_span_ms = (spare_share * span_ms - linger_ms).max(linger_ms);
+        max_in_span_ms.min((self.available_ms - linger_ms).max(MIN_CALL_TIME.1))
     }
 
-    /// How long a further call waits behind `pending` ones at the learned limit.
-    pub(super) fn wait_ms(&self, pending: f64) -> f64 {
-        let free = if self.limit < 1.0 { self.credit } else { self.limit * self.recent.value };
-        ((pending * self.recent.value - free) / self.limit.max(f64::MIN_POSITIVE)).max(0.0)
+    /// Expected wait of a new call behind `pending` others at the learned limit.
+    pub(super) fn expected_wait_ms(&self, pending: f64) -> f64 {
+        let free_ms = if self.limit < 1.0 { self.credit } else { self.limit * self.mean_call_ms.value };
+        ((pending * self.mean_call_ms.value - free_ms) / self.limit.max(f64::MIN_POSITIVE)).max(0.0)
     }
 
-    pub(super) fn ended(&mut self, now: f64, abandoned: bool) {
-        self.in_hand = (self.in_hand - 1.0).max(0.0);
+    /// Removes a call in flight; an abandoned one may linger at the dependency.
+    pub(super) fn call_ended(&mut self, now: f64, abandoned: bool) {
+        self.in_flight = (self.in_flight - 1.0).max(0.0);
         if abandoned {
-            self.lingers(now);
+            self.add_lingering(now);
         }
     }
 
-    /// A call was given up: it may stay in the dependency's hands for a while.
-    pub(super) fn lingers(&mut self, now: f64) {
+    /// Counts an abandoned call for as long as the dependency may still work on it.
+    pub(super) fn add_lingering(&mut self, now: f64) {
         if fault_injection::is_active(InjectedFault::CallOverAtClose) {
             return;
         }
-        if let Below::Shared { linger_ms, .. } = self.below {
+        if let Below::Shared { linger_ms, .. } = self.dependency {
             self.lingering.push_back(now + linger_ms);
         }
     }
 
-    /// Guards against crowding what is below long before it falls: the limit falls while calls take a
-    /// multiple of the least time seen and rises while they do not. Harms where call times differ by nature.
-    pub(super) fn learn(&mut self, now: f64, took: f64) {
+    /// Adapts the limit to the call time, so that the dependency is relieved long before it collapses: the
+    /// limit falls while calls take a multiple of the lowest mean seen, and rises otherwise. It is too low
+    /// if call times vary by nature.
+    pub(super) fn record_call_time(&mut self, now: f64, took_ms: f64) {
         if self.share().is_infinite() {
             return;
         }
-        self.recent.add(now, took, &CALL_SPAN);
-        let recent = self.recent.value.max(1.0);
-        let before = if self.floor_ms == 0.0 { recent } else { self.floor_ms };
-        self.floor_ms = before.min(recent) + CALL_FLOOR_DRIFT * recent;
-        let step = if self.crowding() > 1.0 { CALL_LIMIT_STEPS.0 } else { CALL_LIMIT_STEPS.1 };
-        self.limit = (self.limit * step).clamp(CALL_SHARE.0 * self.share(), self.most());
+        self.mean_call_ms.add(now, took_ms, &CALL_TIME_SPAN);
+        let mean_ms = self.mean_call_ms.value.max(1.0);
+        let previous_min_ms = if self.min_call_ms == 0.0 { mean_ms } else { self.min_call_ms };
+        self.min_call_ms = previous_min_ms.min(mean_ms) + CALL_FLOOR_DRIFT * mean_ms;
+        let step = if self.congestion() > 1.0 { CALL_LIMIT_STEPS.0 } else { CALL_LIMIT_STEPS.1 };
+        self.limit = (self.limit * step).clamp(CALL_LIMIT_BOUNDS.0 * self.share(), self.max_limit());
     }
 }
--- a/src/report.rs
+++ b/src/report.rs
@@ -1,4 +1,4 @@
-//! What commands print for people to read.
+//! Human-readable output of the commands.
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
@@ -28,7 +28,7 @@
     belief.reports.iter().map(say).collect::<Vec<_>>().join("; ")
 }
 
-/// What a node believes of each server, and of those who told it something.
+/// A node's estimate of each server, and its trust in the nodes that sent reports.
 pub fn servers(beliefs: &Beliefs) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header([
@@ -94,7 +94,7 @@
     format!("{}\n", table.trim_fmt())
 }
 
-/// How one member of the store stands.
+/// Status of one member of the store.
 pub fn store_status(status: &Status) -> String {
     let lines = [
         ("member", format!("{} ({})", status.number, status.member)),
@@ -109,7 +109,7 @@
     lines.iter().map(|(name, value)| format!("{name:9} {value}\n")).collect()
 }
 
-/// What a node sees of the fleet.
+/// The fleet as one node sees it.
 pub fn fleet(report: &Report) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header([
@@ -151,7 +151,7 @@
     )
 }
 
-/// How the copies of a node stand.
+/// Replication status of a node.
 pub fn replication(report: &Copies) -> String {
     let terms = report.terms.map_or("nothing is copied yet".to_owned(), |terms| {
         format!("{} copies of each key, windows of up to {} s", terms.copies, terms.window_ms / 1000)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A script of events with explicit time: no server model, only bookkeeping of what was told and asked.
+//! Drives one controller with events at explicit times; does not model a server.
 #![allow(dead_code)]
 
 use sillflow::interface::{Below, Class, Effect, Request};
@@ -8,7 +8,7 @@
 pub const PLAIN: usize = 1;
 pub const KEYED: usize = 2;
 
-/// Two cores, memory for 100 held requests of 10 kB, three classes, a shared dependency with a share of 2.
+/// Two cores, memory for 100 held requests of 10 kB, three classes, and a share of 2 of a shared dependency.
 pub fn settings() -> Settings {
     let class = Class { aim_ms: 1000.0, deadline_ms: 3000.0, worth: 1.0, ..Class::default() };
     Settings {
@@ -58,13 +58,13 @@
 
 impl Script {
     pub fn new(settings: Settings) -> Self {
-        let controller = Controller::new(1, settings).expect("settings make sense");
+        let controller = Controller::new(1, settings).expect("the settings are valid");
         Self { controller, now: 10_000.0 }
     }
 
-    /// Hands over a batch after `wait` ms.
-    pub fn after(&mut self, wait: f64, events: &[Event]) -> Vec<Action> {
-        self.now += wait;
+    /// Delivers a batch of events after `wait_ms`.
+    pub fn after(&mut self, wait_ms: f64, events: &[Event]) -> Vec<Action> {
+        self.now += wait_ms;
         let mut out = Vec::new();
         self.controller.handle(self.now, events, &mut out);
         out
@@ -74,15 +74,16 @@
         self.after(1.0, &[Event::Request(request(id, class))])
     }
 
-    pub fn done(&mut self, wait: f64, id: u32) -> Vec<Action> {
-        self.after(wait, &[Event::Done { id: RequestId(id), outcome: Outcome::Ok, took_ms: wait }])
+    pub fn done(&mut self, wait_ms: f64, id: u32) -> Vec<Action> {
+        self.after(wait_ms, &[Event::Done { id: RequestId(id), outcome: Outcome::Ok, took_ms: wait_ms }])
     }
 
-    /// Wakes the controller every 20 ms for `ms`, with demand for each of two cores.
-    pub fn idle(&mut self, ms: f64, demand: f64) -> Vec<Action> {
-        let gauges = Gauges { core_use: Some(demand.min(1.0)), on_cores: Some(2.0 * demand) };
+    /// Sends a timer event every 20 ms for `duration_ms`, with this demand per core on two cores.
+    pub fn idle(&mut self, duration_ms: f64, demand_per_core: f64) -> Vec<Action> {
+        let gauges =
+            Gauges { core_use: Some(demand_per_core.min(1.0)), on_cores: Some(2.0 * demand_per_core) };
         let mut out = Vec::new();
-        for _ in 0..(ms / 20.0) as usize {
+        for _ in 0..(duration_ms / 20.0) as usize {
             out.extend(self.after(20.0, &[Event::Timer(gauges)]));
         }
         out
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,9 +1,9 @@
-//! The adapter as a process: frames as the wire's page shows them, bad input, and instances that share nothing.
+//! Runs the adapter as a process: frames of the documented wire format, malformed input, and independent instances.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn host(input: &[u8]) -> Output {
+fn run_adapter(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sillflow-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -11,7 +11,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("a pipe");
-    // A host that has found an error may have closed its input already.
+    // After an error the adapter may already have closed its input.
     let _ = stdin.write_all(input);
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -48,73 +48,73 @@
     record(2, &instance.to_be_bytes())
 }
 
-fn unhex(text: &str) -> Vec<u8> {
+fn parse_hex(text: &str) -> Vec<u8> {
     let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
     digits.chunks(2).map(|c| u8::from_str_radix(std::str::from_utf8(c).unwrap(), 16).unwrap()).collect()
 }
 
-/// The request of the wire's page.
+/// The request record of the documentation of the wire format.
 const SUBMIT: &str = "06 00000036 5d3a91c4 00 0000 91f03b7c55d20a64 40c0e62000000000 4028000000000000 41c40000 \
                       3f200000 01 0011 3ffd99999999999a 00000000";
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply() {
-    let out = host(&unhex("00000000 00000000 40c06e2000000000 00000001"));
+fn empty_batch_gets_an_empty_reply() {
+    let out = run_adapter(&parse_hex("00000000 00000000 40c06e2000000000 00000001"));
     assert!(out.status.success());
-    assert_eq!(out.stdout, unhex("00000000 00000000 00000001"));
+    assert_eq!(out.stdout, parse_hex("00000000 00000000 00000001"));
 }
 
 #[test]
-fn a_request_is_dispatched_under_its_own_id() {
-    let input = batch(8412.25, 12, &[about(3), attach(7, ENV), unhex(SUBMIT)]);
-    let out = host(&input);
+fn request_runs_under_its_own_id() {
+    let input = batch(8412.25, 12, &[about(3), attach(7, ENV), parse_hex(SUBMIT)]);
+    let out = run_adapter(&input);
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     assert_eq!(out.stdout[8..12], 12u32.to_be_bytes());
-    assert_eq!(out.stdout[12..19], unhex("10 00000002 0003")[..]);
-    let dispatch = unhex("01 00000004 5d3a91c4");
-    assert!(out.stdout.windows(dispatch.len()).any(|window| window == dispatch));
+    assert_eq!(out.stdout[12..19], parse_hex("10 00000002 0003")[..]);
+    let run_action = parse_hex("01 00000004 5d3a91c4");
+    assert!(out.stdout.windows(run_action.len()).any(|window| window == run_action));
 }
 
 #[test]
-fn identical_instances_act_alike_and_know_nothing_of_each_other() {
-    let alone = host(&batch(100.0, 1, &[about(1), attach(7, ENV), unhex(SUBMIT)])).stdout;
-    let both = [about(1), attach(7, ENV), unhex(SUBMIT), about(2), attach(7, ENV), unhex(SUBMIT)];
-    let both = host(&batch(100.0, 1, &both)).stdout;
+fn identical_instances_act_alike_and_independently() {
+    let alone = run_adapter(&batch(100.0, 1, &[about(1), attach(7, ENV), parse_hex(SUBMIT)])).stdout;
+    let both = [about(1), attach(7, ENV), parse_hex(SUBMIT), about(2), attach(7, ENV), parse_hex(SUBMIT)];
+    let both = run_adapter(&batch(100.0, 1, &both)).stdout;
     let length = alone.len() - 12;
     assert_eq!(both[12..12 + length], alone[12..]);
     assert_eq!(both[12 + length + 7..], alone[12 + 7..], "all but the number of the instance");
 }
 
 #[test]
-fn a_restart_in_one_batch_begins_anew() {
-    let first = batch(100.0, 1, &[about(1), attach(7, ENV), unhex(SUBMIT)]);
-    let second = batch(200.0, 2, &[about(1), record(4, &[]), attach(7, ENV), unhex(SUBMIT)]);
-    let out = host(&[first, second].concat()).stdout;
+fn instance_restarted_in_one_batch_starts_afresh() {
+    let first = batch(100.0, 1, &[about(1), attach(7, ENV), parse_hex(SUBMIT)]);
+    let second = batch(200.0, 2, &[about(1), record(4, &[]), attach(7, ENV), parse_hex(SUBMIT)]);
+    let out = run_adapter(&[first, second].concat()).stdout;
     let (a, b) = out.split_at(out.len() / 2);
     assert_eq!(a[12..], b[12..]);
 }
 
 #[test]
-fn malformed_input_ends_with_one_plain_line_and_no_output() {
-    let ready = |more: Vec<u8>| batch(100.0, 1, &[about(1), attach(7, ENV), more]);
+fn malformed_input_ends_with_one_error_line_and_no_output() {
+    let attached = |more: Vec<u8>| batch(100.0, 1, &[about(1), attach(7, ENV), more]);
     let cases = [
         ("header", vec![0; 7]),
         ("inside a batch", batch(1.0, 1, &[about(1)])[..22].to_vec()),
-        ("unknown record code", ready(record(77, &[]))),
-        ("unknown outcome", ready(record(9, &unhex("00000001 0063 0000000000000000")))),
-        ("cut short", ready(record(1, &[0, 0]))),
-        ("left over", ready(record(1, &[0; 9]))),
-        ("cannot fit", unhex("00000000 ffffffff 40c06e2000000000 00000001")),
+        ("unknown record code", attached(record(77, &[]))),
+        ("unknown outcome", attached(record(9, &parse_hex("00000001 0063 0000000000000000")))),
+        ("cut short", attached(record(1, &[0, 0]))),
+        ("left over", attached(record(1, &[0; 9]))),
+        ("cannot fit", parse_hex("00000000 ffffffff 40c06e2000000000 00000001")),
         ("never attached", batch(1.0, 1, &[about(9), record(1, &[0; 4])])),
         ("before any ABOUT", batch(1.0, 1, &[record(1, &[0; 4])])),
-        ("classes.0.aim", ready(attach(1, "classes.count=1\nclasses.0.aim=soon\n"))),
-        ("aim and deadline", ready(attach(1, "classes.count=1\n"))),
-        ("classes.count", ready(attach(1, "classes.count=99999999999\n"))),
+        ("classes.0.aim", attached(attach(1, "classes.count=1\nclasses.0.aim=soon\n"))),
+        ("aim and deadline", attached(attach(1, "classes.count=1\n"))),
+        ("classes.count", attached(attach(1, "classes.count=99999999999\n"))),
     ];
-    for (word, input) in cases {
-        let out = host(&input);
-        let said = String::from_utf8_lossy(&out.stderr);
-        assert!(!out.status.success() && out.stdout.is_empty(), "{word}: accepted");
-        assert!(said.contains(word) && said.lines().count() == 1, "{word}: {said}");
+    for (expected, input) in cases {
+        let out = run_adapter(&input);
+        let message = String::from_utf8_lossy(&out.stderr);
+        assert!(!out.status.success() && out.stdout.is_empty(), "{expected}: accepted");
+        assert!(message.contains(expected) && message.lines().count() == 1, "{expected}: {message}");
     }
 }
