--- a/src/interface.rs
+++ b/src/interface.rs
@@ -121,7 +121,8 @@
     pub cold_ms: f64,
     /// Speed of a cold server at its start, as a share of full speed.
     pub cold_from: f64,
-    /// Running requests per core that a warm server survives, as a mean over seconds; 0 if unknown.
+    /// Running requests per core that a warm server survives without collapsing, as a mean over seconds; 0
+    /// if unknown.
     pub fall_multiple: f64,
     /// A request that arrives later than this after the start of a drain is not run, in ms.
     pub drain_grace_ms: f64,
--- a/src/logic/call_budget.rs
+++ b/src/logic/call_budget.rs
@@ -43,6 +43,7 @@
     pub(super) min_call_ms: f64,
     /// Mean call time, in ms.
     pub(super) mean_call_ms: Average,
+    /// Call time of the last span.
     pub(super) call_history: CallTime,
     /// With a share below one: how long a call that starts now may be in flight, lingering included, in ms.
     pub(super) available_ms: f64,
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -88,7 +88,9 @@
     call_budget: CallBudget,
     memory: MemoryBudget,
     run_times: Vec<RunTimes>,
+    /// Recognizes unmarked retries by the time that their callers have left.
     caller_timeouts: CallerTimeouts,
+    /// First tries of each tenant within [`TRAFFIC_SPAN`].
     tenant_arrivals: Vec<Average>,
     /// Share of recent requests that were refused.
     refusal_rate: Average,
@@ -96,12 +98,15 @@
     class_refusal_rates: Vec<Average>,
     /// Share of recent requests that were retries or second copies.
     further_rate: Average,
+    /// Arrivals within [`TRAFFIC_SPAN`].
     arrival_count: Average,
     /// Time that recent requests waited before they were read, in ms.
     unread_wait: Average,
     /// Factor on the time that idle connections stay open; raised in a flood.
     idle_time_factor: f64,
+    /// The drain under way, if any.
     draining: Option<Draining>,
+    /// Capacity that requests of another process use.
     reserved: ReservedCapacity,
     orphaned: OrphanedRuns,
     /// Whether orphaned runs leave no capacity for others.
--- a/src/logic/request.rs
+++ b/src/logic/request.rs
@@ -38,6 +38,7 @@
     /// Position among the held requests: the aim in microseconds, later for a lower priority.
     pub(super) order: i64,
     pub(super) phase: Phase,
+    /// Whether its caller was answered or disconnected.
     pub(super) answered: bool,
     pub(super) answered_at: f64,
     /// Whether its run goes on long after its caller was answered or disconnected.
@@ -49,6 +50,7 @@
     /// Whether it makes its calls: mandatory ones always, optional ones as the dimmer decides.
     pub(super) wants_calls: bool,
     pub(super) started_at: f64,
+    /// When it was last parked at a call.
     pub(super) parked_since: f64,
     /// Total time at calls.
     pub(super) parked_ms: f64,
--- a/src/logic/run_limit.rs
+++ b/src/logic/run_limit.rs
@@ -24,13 +24,15 @@
 pub(super) struct RunLimit {
     pub(super) cores: f64,
     pub(super) limit: f64,
+    /// Mean demand for cores.
     pub(super) demand: Average,
+    /// Share of the cores that was busy at the last wake-up.
     pub(super) core_use: f64,
 }
 
 impl RunLimit {
-    /// Adapts the limit to the core demand; `ceiling` is the concurrency that the server survives.
-    pub(super) fn update(&mut self, now: f64, gauges: &Gauges, running: f64, waiting: bool, ceiling: f64) {
+    /// Adapts the limit to the core demand; `survivable` is the concurrency that the server survives.
+    pub(super) fn update(&mut self, now: f64, gauges: &Gauges, running: f64, waiting: bool, survivable: f64) {
         let demand = finite_or_zero(gauges.on_cores.unwrap_or(running));
         self.core_use = finite_or_zero(gauges.core_use.unwrap_or(demand / self.cores));
         self.demand.add(now, demand, &DEMAND_SPAN);
@@ -40,7 +42,7 @@
         } else if demand_per_core > DEMAND_BAND.1 {
             self.limit -= LIMIT_STEP;
         }
-        self.limit = self.limit.min(ceiling * RUN_SHARE).max(self.cores);
+        self.limit = self.limit.min(survivable * RUN_SHARE).max(self.cores);
     }
 }
 
--- a/src/report.rs
+++ b/src/report.rs
@@ -2,9 +2,9 @@
 
 use comfy_table::Table;
 use comfy_table::presets::NOTHING;
-use sillflow::fleet::wire::Report;
+use sillflow::fleet::wire::Report as FleetReport;
 use sillflow::peers::wire::Beliefs;
-use sillflow::replication::report::Report as Copies;
+use sillflow::replication::report::Report as ReplicationReport;
 use sillflow::route::{ServerEstimate, ServerState};
 use sillflow::store::{MemberView, Status};
 
@@ -12,20 +12,20 @@
     ms.map_or_else(|| "-".to_owned(), |ms| format!("{:.1}", ms / 1000.0))
 }
 
-fn standing(belief: &ServerEstimate) -> String {
-    match belief.state {
+fn format_state(estimate: &ServerEstimate) -> String {
+    match estimate.state {
         ServerState::Active => "in".to_owned(),
         ServerState::Ejected { times, .. } => format!("out {times}"),
         ServerState::Trial { left, .. } => format!("trial {left}"),
     }
 }
 
-fn heard(belief: &ServerEstimate) -> String {
-    let say = |heard: &sillflow::server_stats::ReportedEstimate| {
-        let age = seconds(Some(heard.age_ms));
-        format!("{} {:.2}x, weight {:.1}, {age} s ago", heard.reporter, heard.log_time.exp(), heard.weight)
+fn format_reports(estimate: &ServerEstimate) -> String {
+    let format_report = |report: &sillflow::server_stats::ReportedEstimate| {
+        let age = seconds(Some(report.age_ms));
+        format!("{} {:.2}x, weight {:.1}, {age} s ago", report.reporter, report.log_time.exp(), report.weight)
     };
-    belief.reports.iter().map(say).collect::<Vec<_>>().join("; ")
+    estimate.reports.iter().map(format_report).collect::<Vec<_>>().join("; ")
 }
 
 /// A node's estimate of each server, and its trust in the nodes that sent reports.
@@ -44,24 +44,24 @@
         "up s",
         "heard",
     ]);
-    for belief in &beliefs.servers {
+    for estimate in &beliefs.servers {
         table.add_row([
-            belief.spec.address.to_string(),
-            belief.spec.zone.clone(),
-            belief.spec.weight.to_string(),
-            standing(belief),
-            belief.in_flight.to_string(),
-            format!("{:.2}x", belief.relative_time),
-            format!("{:.0}%", belief.failure_rate * 100.0),
-            format!("{:.1}", belief.samples),
-            seconds(belief.age_ms),
-            seconds(belief.up_ms),
-            heard(belief),
+            estimate.spec.address.to_string(),
+            estimate.spec.zone.clone(),
+            estimate.spec.weight.to_string(),
+            format_state(estimate),
+            estimate.in_flight.to_string(),
+            format!("{:.2}x", estimate.relative_time),
+            format!("{:.0}%", estimate.failure_rate * 100.0),
+            format!("{:.1}", estimate.samples),
+            seconds(estimate.age_ms),
+            seconds(estimate.up_ms),
+            format_reports(estimate),
         ]);
     }
-    let trust = |(name, trust): &(String, f64)| format!("{name} is believed {:.0}%\n", trust * 100.0);
-    let trusted: String = beliefs.tellers.iter().map(trust).collect();
-    format!("{}\n{}\n{trusted}", beliefs.node, table.trim_fmt())
+    let format_trust = |(name, trust): &(String, f64)| format!("{name} is believed {:.0}%\n", trust * 100.0);
+    let trust_lines: String = beliefs.tellers.iter().map(format_trust).collect();
+    format!("{}\n{}\n{trust_lines}", beliefs.node, table.trim_fmt())
 }
 
 fn or_dash(value: Option<impl ToString>) -> String {
@@ -110,7 +110,7 @@
 }
 
 /// The fleet as one node sees it.
-pub fn fleet(report: &Report) -> String {
+pub fn fleet(report: &FleetReport) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING).set_header([
         "node",
@@ -152,7 +152,7 @@
 }
 
 /// Replication status of a node.
-pub fn replication(report: &Copies) -> String {
+pub fn replication(report: &ReplicationReport) -> String {
     let terms = report.terms.map_or("nothing is copied yet".to_owned(), |terms| {
         format!("{} copies of each key, windows of up to {} s", terms.copies, terms.window_ms / 1000)
     });
@@ -183,6 +183,6 @@
         ]);
     }
     let trouble = report.trouble.as_ref();
-    let trouble = trouble.map_or(String::new(), |trouble| format!("nothing can be kept: {trouble}\n"));
+    let trouble = trouble.map_or(String::new(), |trouble| format!("nothing can be stored: {trouble}\n"));
     format!("{trouble}{lines}\n{}\n", table.trim_fmt())
 }
