--- a/src/ejection/claims.rs
+++ b/src/ejection/claims.rs
@@ -1,6 +1,6 @@
-//! Who counts, as this node goes by it. A word of it proves nothing, whoever says it: one lying node that names a number
-//! high enough would be followed by all, and nobody else ever after. So a holder that is new here is gone by only once
-//! the store has vouched for it, and nobody has the store asked more often than [`RETRY_INTERVAL_MS`].
+//! Which node coordinates, as far as this node has verified it. A claim alone proves nothing, whoever sends it: one lying
+//! node that names a high enough fencing token would be followed by all, and no other coordinator ever after. So a new
+//! holder is accepted only once the store has verified it, and each sender can trigger at most one store query per [`RETRY_INTERVAL_MS`].
 
 use std::collections::BTreeMap;
 
@@ -9,62 +9,62 @@
 use super::wire::Holder;
 use crate::lease::Unproved;
 
-/// How long a teller's next claim waits once the store was asked about one, in ms.
+/// Minimum time between two store queries that one sender's claims trigger, in ms.
 pub const RETRY_INTERVAL_MS: f64 = 500.0;
-/// How long a claim that is not gone by is shown to operators, in ms.
-pub const SHOWN_MS: f64 = 600_000.0;
+/// How long an unverified claim is reported to operators, in ms.
+pub const REPORTED_MS: f64 = 600_000.0;
 
-/// What becomes of a claim.
+/// The outcome of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// It is what this node goes by.
+    /// It names the holder that this node has accepted.
     Known,
-    /// A higher number was seen, or this one as another's.
+    /// A higher fencing token was seen, or the same one for another holder. Carries the highest one seen.
     Superseded(u64),
-    /// The store was asked about a claim of this teller just now: it may come again.
+    /// The store was queried about a claim of this sender within the retry interval; the claim may be sent again.
     RateLimited,
-    /// The store is to be asked.
+    /// The store has to be queried.
     Unverified,
 }
 
-/// A claim that is not gone by.
+/// A claim that the store did not verify.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnverifiedClaim {
-    /// Who has made it: the node itself, or one that names another.
+    /// The node that sent the claim, about itself or about another node.
     pub teller: String,
-    /// Who is said to count.
+    /// The claimed coordinator.
     pub holder: Holder,
-    /// Why it is not gone by.
+    /// Why it was not verified.
     pub why: Unproved,
 }
 
-/// The holder that this node goes by, and who has made claims lately.
+/// The holder that this node has accepted, and the recent claims.
 #[derive(Clone, Debug, Default)]
 pub struct Claims {
     holder: Option<Holder>,
-    /// The last claim that was not gone by, and when that was found, in ms.
+    /// The last unverified claim, and when it was rejected, in ms.
     doubted: Option<(f64, UnverifiedClaim)>,
-    /// Until when further claims of a teller wait, in ms.
-    waits: BTreeMap<String, f64>,
+    /// Per sender, the time before which its further claims are not verified, in ms.
+    retry_after: BTreeMap<String, f64>,
 }
 
 impl Claims {
-    /// The holder that this node goes by.
+    /// The accepted holder.
     pub fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
 
-    /// The last claim that was not gone by, for [`SHOWN_MS`].
+    /// The last unverified claim, for [`REPORTED_MS`].
     pub fn doubted(&self, now: f64) -> Option<&UnverifiedClaim> {
-        self.doubted.as_ref().filter(|(at, _)| now - at <= SHOWN_MS).map(|(_, doubted)| doubted)
+        self.doubted.as_ref().filter(|(at, _)| now - at <= REPORTED_MS).map(|(_, doubted)| doubted)
     }
 
-    /// A claim is not gone by.
-    pub fn doubt(&mut self, now: f64, doubted: UnverifiedClaim) {
+    /// Records an unverified claim.
+    pub fn reject(&mut self, now: f64, doubted: UnverifiedClaim) {
         self.doubted = Some((now, doubted));
     }
 
-    /// Hears a claim. `seen` is the highest number of which a list was applied, over all starts.
+    /// Takes a claim. `seen` is the highest fencing token of an applied list, over all starts of this node.
     pub fn receive(&mut self, now: f64, seen: u64, teller: &str, claim: &Holder) -> ClaimOutcome {
         if self.holder.as_ref() == Some(claim) {
             return ClaimOutcome::Known;
@@ -73,15 +73,16 @@
         if claim.fence < seen || known.is_some_and(|known| claim.fence <= known) {
             return ClaimOutcome::Superseded(known.unwrap_or(0).max(seen));
         }
-        self.waits.retain(|_, until| now < *until);
-        if self.waits.contains_key(teller) {
+        self.retry_after.retain(|_, until| now < *until);
+        if self.retry_after.contains_key(teller) {
             return ClaimOutcome::RateLimited;
         }
-        self.waits.insert(teller.to_owned(), now + RETRY_INTERVAL_MS);
+        self.retry_after.insert(teller.to_owned(), now + RETRY_INTERVAL_MS);
         ClaimOutcome::Unverified
     }
 
-    /// The store vouches for a holder. Whether it is another one than before: it may have been passed meanwhile.
+    /// Accepts a holder that the store has verified. Returns whether it replaces the previous one: a higher fencing token
+    /// may have been accepted meanwhile.
     pub fn accept_holder(&mut self, holder: Holder) -> bool {
         let new = self.holder.as_ref().is_none_or(|known| known.fence < holder.fence);
         if new {
--- a/src/ejection/list_manager.rs
+++ b/src/ejection/list_manager.rs
@@ -8,7 +8,7 @@
 use super::cap::{Decision, Ejected, OperatorOverride};
 use super::detection::{Outlier, Scope};
 use super::list::{List, ListEntry, MAX_ENTRIES, Number, Stage, Why};
-use super::sequential::{FALSE_A_RETURN, bet, is_recovered, recovered};
+use super::sequential::{FALSE_RECOVERY_PROBABILITY, bet, is_recovered, recovered};
 
 /// How long the first removal lasts at least, in ms; each further one lasts twice as long as the one before, up to the
 /// second.
@@ -277,7 +277,7 @@
         let well = |trial: &&Trial| is_recovered(recovered(trial.calls, trial.bad, GOOD_RATE, bad_rate));
         let ill = |trial: &&Trial| {
             let most = bet(trial.calls, trial.bad, GOOD_RATE).into_iter().fold(f64::NEG_INFINITY, f64::max);
-            most >= -FALSE_A_RETURN.ln()
+            most >= -FALSE_RECOVERY_PROBABILITY.ln()
         };
         let (well, ill) =
             (self.trials.values().filter(well).count(), self.trials.values().filter(ill).count());
--- a/src/ejection/mod.rs
+++ b/src/ejection/mod.rs
@@ -1,15 +1,17 @@
-//! Which servers the fleet as a whole takes out. Each node goes on removing for itself what its own calls prove
-//! ([`crate::route`]); here the evidence of many is counted, so that what none of them can prove alone is known soon,
-//! and one ill path removes nothing for the others.
+//! Fleet-wide outlier ejection by quorum voting. Each node still ejects on its own the servers that its own calls prove
+//! bad ([`crate::route`]). Here the evidence of many nodes is combined, so that a fault that no node can prove alone is
+//! found soon, and one faulty network path ejects nothing for the other nodes. Some machines may lie (Byzantine faults).
 //!
-//! Nodes note what their calls tell ([`evidence::Recorder`]) and send it to the one that counts, which keeps it
-//! ([`evidence::EvidenceStore`]) and asks [`detection::evaluate`] what it comes to: a test that may be looked at at any time
-//! ([`sequential`]), under a bound on liars. [`cap::decide`] holds that to what may be removed at all, and
-//! [`list_manager::ListManager`] makes numbered lists of it, which every node applies through a [`list::Guard`].
+//! Nodes record the results of their calls ([`evidence::Recorder`]) and send them to the coordinator, which stores them
+//! ([`evidence::EvidenceStore`]) and evaluates them ([`detection::evaluate`]) with a sequential test that may be
+//! evaluated at any time ([`sequential`]), under a bound on the number of lying machines. [`cap::decide`] limits the
+//! outliers to what may be ejected at once, and [`list_manager::ListManager`] publishes numbered ejection lists, which
+//! every node applies through a [`list::Guard`].
 //!
-//! These decide without I/O and clock: times are ms of a clock that never runs backwards, and what crosses the wire is
-//! ages. That one node counts at a time is a duty's business: its number is an argument. [`participant`] has the tasks: on a
-//! thread of its own each node sends its evidence, hears who counts and applies lists, and counts while it has the duty.
+//! These modules decide without I/O or a clock of their own: times are ms of a monotonic clock, and messages carry ages
+//! instead of times. The lease ([`crate::lease`]) ensures that one node coordinates at a time; its fencing token is passed
+//! in as an argument. [`participant`] has the tasks: on its own thread each node sends its evidence, learns who
+//! coordinates and applies lists, and coordinates while it holds the lease.
 
 pub mod cap;
 pub mod claims;
--- a/src/ejection/participant.rs
+++ b/src/ejection/participant.rs
@@ -205,7 +205,7 @@
     };
     let Holder { fence, name } = &holder;
     warn!("verdicts: {teller} says that {name} counts under number {fence}, which is not gone by: {why}");
-    seat.claims.borrow_mut().doubt(seat.now(), UnverifiedClaim { teller, holder, why });
+    seat.claims.borrow_mut().reject(seat.now(), UnverifiedClaim { teller, holder, why });
 }
 
 /// How this node's own evidence fares.
