--- a/src/exchange/core.rs
+++ b/src/exchange/core.rs
@@ -18,7 +18,7 @@
 use super::handed::{HandoverMessage, PredecessorResources};
 use super::idempotency::{IdempotencyTable, Key};
 use super::receipts::Receipts;
-use super::succession::OrphanedRunEstimate;
+use super::succession::PredecessorRunEstimate;
 use super::time::span;
 use super::transitions::StateChangeLog;
 use super::types::{Anomaly, Answer, Call, Command, Input, NodeStatus, TryId};
@@ -91,7 +91,7 @@
     /// Resources that requests of the previous process still use.
     pub(super) predecessor_resources: PredecessorResources,
     /// The runs that the previous process left behind, once it has ended.
-    pub(super) orphaned_runs: Option<OrphanedRunEstimate>,
+    pub(super) predecessor_runs: Option<PredecessorRunEstimate>,
     /// Keys whose tries are open at the previous process, with the identifiers that stand for those tries here.
     pub(super) predecessor_keys: HashMap<Key, RequestId>,
     /// Notified once no request is open.
@@ -142,7 +142,7 @@
             successor: None,
             reported_resources: PredecessorResources::default(),
             predecessor_resources: PredecessorResources::default(),
-            orphaned_runs: None,
+            predecessor_runs: None,
             predecessor_keys: HashMap::new(),
             finished: None,
         })
@@ -275,7 +275,7 @@
     fn gauges_received(&mut self, tag: u64, values: &[f32]) {
         if let Some((_, timeout)) = self.gauge_query.take_if(|(pending, _)| *pending == tag) {
             let gauges = gauges(&self.site.gauges, values);
-            self.update_orphaned_runs(gauges.on_cores);
+            self.update_predecessor_runs(gauges.on_cores);
             if let Some(timeout) = timeout {
                 self.timers.try_remove(&timeout);
                 self.events.push(Event::Timer(gauges));
--- a/src/exchange/succession.rs
+++ b/src/exchange/succession.rs
@@ -22,12 +22,12 @@
 const PEAK_PERIOD_MS: f64 = 1_000.0;
 
 /// Estimates from the gauges how many runs of a process that has ended are still on the processor.
-pub(super) struct OrphanedRunEstimate {
+pub(super) struct PredecessorRunEstimate {
     since: f64,
     peak: f64,
 }
 
-impl OrphanedRunEstimate {
+impl PredecessorRunEstimate {
     fn starting_at(now: f64) -> Self {
         Self { since: now, peak: 0.0 }
     }
@@ -191,7 +191,7 @@
                 "the previous process has left {runs} runs with {booked_kb:.0} kB: their capacity stays reserved"
             );
             self.predecessor_resources = PredecessorResources { booked_kb, runs, calls: 0 };
-            self.orphaned_runs = Some(OrphanedRunEstimate::starting_at(self.clock.now()));
+            self.predecessor_runs = Some(PredecessorRunEstimate::starting_at(self.clock.now()));
         }
         self.reserve_predecessor_resources();
         for (key, holder) in std::mem::take(&mut self.predecessor_keys) {
@@ -201,9 +201,9 @@
 
     /// Lowers the number of runs that the previous process left to the recent peak of runs that wanted a core. None
     /// of them waits for a call, as no process is there to answer it.
-    pub(super) fn update_orphaned_runs(&mut self, on_cores: Option<f64>) {
+    pub(super) fn update_predecessor_runs(&mut self, on_cores: Option<f64>) {
         let now = self.clock.now();
-        let (Some(estimate), Some(on_cores)) = (&mut self.orphaned_runs, on_cores) else { return };
+        let (Some(estimate), Some(on_cores)) = (&mut self.predecessor_runs, on_cores) else { return };
         let Some(left) =
             estimate.sample(now, on_cores).filter(|left| *left < self.predecessor_resources.runs)
         else {
@@ -211,7 +211,7 @@
         };
         if left == 0 {
             info!("no run of the previous process is left on the cores: its reserved capacity is free");
-            self.orphaned_runs = None;
+            self.predecessor_runs = None;
             self.predecessor_resources = PredecessorResources::default();
         } else {
             self.predecessor_resources.runs = left;
--- a/src/exchange/types.rs
+++ b/src/exchange/types.rs
@@ -152,7 +152,8 @@
     DuplicateRunPrevented,
     /// A request was turned away because the idempotency table is full.
     IdempotencyTableFull,
-    /// A request failed without being processed, because its class or one of its fields is invalid.
+    /// A request failed on arrival, because its class or one of its fields is invalid, or because too many requests were
+    /// open on its connection.
     InvalidRequest,
     /// The processor rejected a command.
     RejectedByProcessor,
@@ -198,7 +199,7 @@
             Self::Failsafe => "requests answered by the failsafe",
             Self::DuplicateRunPrevented => "requests not run, as their idempotency keys have run already",
             Self::IdempotencyTableFull => "requests turned away, as the idempotency table is full",
-            Self::InvalidRequest => "requests failed for invalid fields",
+            Self::InvalidRequest => "requests failed on arrival: invalid, or too many open on one connection",
             Self::RejectedByProcessor => "requests rejected by the processor",
             Self::IdentifierConflict => "requests failed: try identifier or key in use by another request",
             Self::ReceivedTooLate => "requests failed, read when records of their keys may have expired",
--- a/tests/clocks.rs
+++ b/tests/clocks.rs
@@ -414,7 +414,7 @@
     let fields = format!("req={},ts={ts},owner=almaty", try_id(1));
     front.send(&[b"ASK", b"1", b"plate-check", fields.as_bytes(), b"body"]);
     assert_eq!(front.answer().word, "error");
-    node.logged("1 requests failed for invalid fields in the last 5 s");
+    node.logged("1 requests failed on arrival: invalid, or too many open on one connection in the last 5 s");
     assert_eq!(node.processor.count("begin"), 0);
     served(&mut node, &mut front, 2, "plate-check", "");
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -484,7 +484,7 @@
     let (mut node, mut front) = started();
     front.send(&[b"ASK", b"1", class.as_bytes(), fields.as_bytes(), body]);
     assert_eq!(front.answer().word, "error");
-    node.logged("1 requests failed for invalid fields in the last 5 s");
+    node.logged("1 requests failed on arrival: invalid, or too many open on one connection in the last 5 s");
     let req = run(&mut node, &mut front, 2, "plate-check", "");
     node.processor.complete(&req, b"well");
     assert_eq!(front.answer().body, b"well");
